--- a/bench/fleet/main.cpp
+++ b/bench/fleet/main.cpp
@@ -47,21 +47,21 @@
     return {"127.1." + net + "." + std::to_string(place % A_NET + 1), PORT};
 }
 
-void beat(Host& host) {
-    WorkerBeat beat;
-    beat.m_life = host.m_worker->getLife();
-    beat.m_service = "tasks";
-    beat.m_rack = host.m_rack;
-    beat.m_labels = {"a", host.m_rack};
-    beat.m_capacity = {128'000, 262'144, 8};
-    beat.m_failureDomain = host.m_domain;
-    beat.m_sequence = host.m_worker->countBeat();
-    host.m_agent->handleBeat(beat);
+void heartbeat(Host& host) {
+    WorkerHeartbeat heartbeat;
+    heartbeat.m_incarnation = host.m_worker->getLife();
+    heartbeat.m_service = "tasks";
+    heartbeat.m_rack = host.m_rack;
+    heartbeat.m_labels = {"a", host.m_rack};
+    heartbeat.m_capacity = {128'000, 262'144, 8};
+    heartbeat.m_failureDomain = host.m_domain;
+    heartbeat.m_sequence = host.m_worker->countBeat();
+    host.m_agent->handleHeartbeat(heartbeat);
 }
 
 void keepBeating(EventLoop& loop, std::vector<Host>& hosts) {
     for (Host& host : hosts) {
-        beat(host);
+        heartbeat(host);
     }
     loop.callLater(BEAT_INTERVAL, [&loop, &hosts] { keepBeating(loop, hosts); });
 }
--- a/bench/replay/Policies.cpp
+++ b/bench/replay/Policies.cpp
@@ -11,13 +11,13 @@
 Free getFree(const Scene& scene) {
     std::map<std::string, std::size_t> places;
     Free free;
-    for (const WorkerView& worker : scene.m_workers) {
+    for (const WorkerSnapshot& worker : scene.m_workers) {
         places[worker.m_id.m_host] = free.size();
         free.push_back(worker.m_acceptsWork ? worker.m_capacity.m_accelerators : 0);
     }
     for (const PlannedJob& job : scene.m_jobs) {
         const std::uint32_t each = job.m_record->m_spec.m_steps.front().m_need.m_accelerators;
-        for (const HeldRun& run : listHeldRuns(job.m_record->m_id, *job.m_run)) {
+        for (const ActiveRun& run : listActiveRuns(job.m_record->m_id, *job.m_run)) {
             std::uint32_t& left = free[places.at(run.m_worker.m_host)];
             left -= std::min(left, each);
         }
@@ -27,7 +27,7 @@
 
 bool isWaiting(const PlannedJob& job) {
     const auto& occurrences = job.m_run->m_occurrences;
-    return !job.m_run->isOver() && !occurrences.empty() &&
+    return !job.m_run->isFinished() && !occurrences.empty() &&
            occurrences.front().m_steps.front().m_tasks.front().m_state == TaskState::WAITING;
 }
 
--- a/bench/replay/Policies.h
+++ b/bench/replay/Policies.h
@@ -13,7 +13,7 @@
 
 /** What a policy sees. */
 struct Scene {
-    const std::vector<WorkerView>& m_workers;
+    const std::vector<WorkerSnapshot>& m_workers;
     const std::vector<PlannedJob>& m_jobs;
     /** Until running tasks end, as they were declared. */
     const std::map<TaskKey, Millis>& m_remaining;
--- a/bench/replay/Replay.cpp
+++ b/bench/replay/Replay.cpp
@@ -53,7 +53,7 @@
     std::uint32_t m_preemptions = 0;
 
     const JobRecord& getRecord() const { return m_arrival->m_record; }
-    std::vector<HeldRun> listHeld() const { return listHeldRuns(getRecord().m_id, m_run); }
+    std::vector<ActiveRun> listHeld() const { return listActiveRuns(getRecord().m_id, m_run); }
     Millis getRestartCost() const { return RESTART_COST * m_preemptions; }
 };
 
@@ -128,15 +128,15 @@
         } else {
             endRuns(job, RunEnd::STOPPED);
         }
-        if (job.m_run.isOver() && job.m_run.isIdle()) {
+        if (job.m_run.isFinished() && job.m_run.isIdle()) {
             m_jobs.erase(event.m_job);
         }
     }
 
     void tick() {
-        const bool isOver = m_jobs.empty() && m_events.empty();
+        const bool isFinished = m_jobs.empty() && m_events.empty();
         const bool isStuck = m_now > m_lastProgress + STUCK;
-        if (!isOver && !isStuck) {
+        if (!isFinished && !isStuck) {
             m_events.push({m_now + TICK, EventKind::TICK, "", 0});
         }
     }
@@ -159,15 +159,15 @@
 
     /** All its runs end in this way. */
     void endRuns(LiveJob& job, RunEnd how) {
-        for (const HeldRun& held : job.listHeld()) {
+        for (const ActiveRun& held : job.listHeld()) {
             applyEnd(job.getRecord(), job.m_run, held.m_task, held.m_run, how, "c", m_now);
-            noteEnd(job, held, how);
+            recordRunEnd(job, held, how);
         }
     }
 
-    void noteEnd(const LiveJob& job, const HeldRun& held, RunEnd how) {
+    void recordRunEnd(const LiveJob& job, const ActiveRun& held, RunEnd how) {
         const Millis ran = m_now - held.m_placedAt;
-        m_health.noteEnd({held.m_worker.m_host, job.getRecord().m_id, how, ran}, m_now);
+        m_health.recordRunEnd({held.m_worker.m_host, job.getRecord().m_id, how, ran}, m_now);
     }
 
     void stopLater(LiveJob& job) {
@@ -194,18 +194,18 @@
 
     /** The member on the failing worker fails, the others stop with it. */
     void fail(LiveJob& job) {
-        for (const HeldRun& held : job.listHeld()) {
+        for (const ActiveRun& held : job.listHeld()) {
             const bool isFailing = held.m_worker.m_host == m_workload.m_failingWorker;
             const RunEnd how = isFailing ? RunEnd::FAILED : RunEnd::STOPPED;
             applyEnd(job.getRecord(), job.m_run, held.m_task, held.m_run, how, "c", m_now);
-            noteEnd(job, held, how);
+            recordRunEnd(job, held, how);
         }
         ++job.m_attempt;
-        m_measures.m_unfinished += job.m_run.isOver() ? 1 : 0;
+        m_measures.m_unfinished += job.m_run.isFinished() ? 1 : 0;
     }
 
     void pass() {
-        for (WorkerView& worker : m_workers) {
+        for (WorkerSnapshot& worker : m_workers) {
             worker.m_acceptsWork = !m_health.isAvoided(worker.m_id.m_host, m_now);
             worker.m_isSuspect = m_health.isSuspect(worker.m_id.m_host, m_now);
         }
@@ -247,7 +247,7 @@
         for (const auto& [id, job] : m_jobs) {
             const Millis done = job.m_progress + (m_now - job.m_startedAt);
             const Millis declared = job.m_arrival->getStep().m_estimate;
-            for (const HeldRun& held : job.listHeld()) {
+            for (const ActiveRun& held : job.listHeld()) {
                 remaining[held.m_task] = std::max(declared - done, Millis(0));
             }
         }
@@ -258,8 +258,8 @@
         job.m_startedAt = m_now;
         const Millis work = job.m_arrival->m_trueRunTime + job.getRestartCost();
         const Millis left = std::max(work - job.m_progress, Millis(1000));
-        const std::vector<HeldRun> held = job.listHeld();
-        const bool fails = std::any_of(held.begin(), held.end(), [this](const HeldRun& run) {
+        const std::vector<ActiveRun> held = job.listHeld();
+        const bool fails = std::any_of(held.begin(), held.end(), [this](const ActiveRun& run) {
             return run.m_worker.m_host == m_workload.m_failingWorker;
         });
         ++job.m_attempt;
@@ -286,7 +286,7 @@
     }
 
     void preempt(LiveJob& job) {
-        for (const HeldRun& held : job.listHeld()) {
+        for (const ActiveRun& held : job.listHeld()) {
             markStopping(job.m_run, held);
         }
         job.m_progress += m_now - job.m_startedAt;
@@ -307,13 +307,13 @@
     std::optional<double> findFragmentation() const {
         std::map<std::string, std::uint32_t> free;
         std::uint32_t idle = 0;
-        for (const WorkerView& worker : m_workers) {
+        for (const WorkerSnapshot& worker : m_workers) {
             const std::uint32_t count = worker.m_acceptsWork ? worker.m_capacity.m_accelerators : 0;
             free[worker.m_id.m_host] = count;
             idle += count;
         }
         for (const auto& [id, job] : m_jobs) {
-            for (const HeldRun& run : job.listHeld()) {
+            for (const ActiveRun& run : job.listHeld()) {
                 std::uint32_t& left = free[run.m_worker.m_host];
                 const std::uint32_t taken =
                         std::min(left, job.m_arrival->getStep().m_need.m_accelerators);
@@ -332,7 +332,7 @@
     std::uint32_t countServable(const std::map<std::string, std::uint32_t>& free) const {
         const StepSpec& gauge = m_workload.m_gauge;
         std::map<std::string, std::uint32_t> membersOf;
-        for (const WorkerView& worker : m_workers) {
+        for (const WorkerSnapshot& worker : m_workers) {
             membersOf[worker.m_rack] += free.at(worker.m_id.m_host) / gauge.m_need.m_accelerators;
         }
         std::uint32_t served = 0;
@@ -365,7 +365,7 @@
 
     const Workload& m_workload;
     ReplayPolicy& m_policy;
-    std::vector<WorkerView> m_workers;
+    std::vector<WorkerSnapshot> m_workers;
     WorkerHealth m_health{WorkerHealthSettings()};
     Millis m_now{0};
     Millis m_lastProgress{0};
--- a/bench/replay/Workload.cpp
+++ b/bench/replay/Workload.cpp
@@ -37,7 +37,7 @@
 
 void addWorkers(const WorkloadPlan& plan, Workload& workload) {
     for (std::uint32_t i = 0; i < plan.m_workers; ++i) {
-        WorkerView worker;
+        WorkerSnapshot worker;
         const std::uint32_t rack = i / plan.m_perRack;
         worker.m_id = {"w" + std::to_string(1000 + i), "life"};
         worker.m_service = "work";
--- a/bench/replay/Workload.h
+++ b/bench/replay/Workload.h
@@ -28,7 +28,7 @@
 /** Workers, organisations with guarantees, and jobs. */
 struct Workload {
     std::string m_name;
-    std::vector<WorkerView> m_workers;
+    std::vector<WorkerSnapshot> m_workers;
     /** Accelerators that belong to each organisation. */
     std::map<std::string, std::uint32_t> m_guarantees;
     std::vector<Arrival> m_arrivals;
--- a/bench/replay/main.cpp
+++ b/bench/replay/main.cpp
@@ -100,7 +100,7 @@
         return entry.second.m_phase == JobPhase::PENDING;
     });
     const PassTimes explained = timePlans(planner, input);
-    input.m_withReasons = false;
+    input.m_withExplanations = false;
     const PassTimes plain = timePlans(planner, input);
     std::printf(
             "pass\t%u workers\t%zu tasks run\t%td jobs wait\t%.2f ms median\t%.2f ms worst\t"
@@ -123,8 +123,9 @@
             "fragmentation-weight", po::value(&settings.m_fragmentationWeight), "0 to 100")(
             "starvation-factor", po::value(&settings.m_starvationFactor),
             "declared times that a job waits before it is starved")(
-            "claims", po::value(&settings.m_maxClaims), "starved units with claims at a time")(
-            "alone", po::bool_switch(&isAlone), "without the baselines")(
+            "claims", po::value(&settings.m_maxReservations),
+            "starved units with claims at a time")("alone", po::bool_switch(&isAlone),
+                                                   "without the baselines")(
             "pass", po::bool_switch(&isPass), "measure the time of a pass instead")("help",
                                                                                     "this text");
     po::variables_map values;
--- a/fuzz/DecodersFuzz.cpp
+++ b/fuzz/DecodersFuzz.cpp
@@ -43,9 +43,9 @@
 /** A beat is read whole or not at all. */
 void checkBeat(std::string_view bytes, const pierbank::DocumentCodec& documents) {
     pierbank::Findings findings;
-    const auto beat = documents.readBeat("life", bytes, findings);
-    require(beat.has_value() == findings.isEmpty());
-    require(!beat.has_value() || !beat->m_service.empty());
+    const auto heartbeat = documents.readBeat("life", bytes, findings);
+    require(heartbeat.has_value() == findings.isEmpty());
+    require(!heartbeat.has_value() || !heartbeat->m_service.empty());
 }
 
 }  // namespace
--- a/libs/control/include/pierbank/control/Advisor.h
+++ b/libs/control/include/pierbank/control/Advisor.h
@@ -12,7 +12,7 @@
 
 /** A worker that may run a step, and what a start there has to bring. */
 struct AdvisedWorker {
-    std::string m_life;
+    std::string m_incarnation;
     std::string m_ticket;
 };
 
@@ -36,7 +36,7 @@
      * @param step `JOB.OCCURRENCE.STEP`.
      * @param patience after this time without an answer the reply is not good.
      */
-    virtual void advise(const std::string& step, const std::vector<std::string>& lives,
+    virtual void advise(const std::string& step, const std::vector<std::string>& incarnations,
                         Millis patience, std::function<void(const AdviceReply&)> done) = 0;
 };
 
--- a/libs/control/include/pierbank/control/RoomRefusals.h
+++ b/libs/control/include/pierbank/control/CapacityRefusals.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef PIERBANK_CONTROL_ROOMREFUSALS_H
-#define PIERBANK_CONTROL_ROOMREFUSALS_H
+#ifndef PIERBANK_CONTROL_CAPACITYREFUSALS_H
+#define PIERBANK_CONTROL_CAPACITYREFUSALS_H
 
 #include <map>
 #include <string>
@@ -14,10 +14,10 @@
  * shrunk, and the heartbeat that says so is on its way. Such a worker was asked 100 times a second
  * (test); now it is left alone until it says something new, or for a pause that doubles.
  */
-class RoomRefusals {
+class CapacityRefusals {
 public:
     /** A start was refused there. */
-    void note(const std::string& host, Millis now);
+    void recordRefusal(const std::string& host, Millis now);
     /** The worker told what it has, or something ended there. */
     void forget(const std::string& host) { m_pauses.erase(host); }
     bool isPaused(const std::string& host, Millis now) const;
@@ -34,4 +34,4 @@
 
 }  // namespace pierbank
 
-#endif  // PIERBANK_CONTROL_ROOMREFUSALS_H
+#endif  // PIERBANK_CONTROL_CAPACITYREFUSALS_H
--- a/libs/control/include/pierbank/control/CertainCommit.h
+++ b/libs/control/include/pierbank/control/CommitResolver.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef PIERBANK_CONTROL_CERTAINCOMMIT_H
-#define PIERBANK_CONTROL_CERTAINCOMMIT_H
+#ifndef PIERBANK_CONTROL_COMMITRESOLVER_H
+#define PIERBANK_CONTROL_COMMITRESOLVER_H
 
 #include <functional>
 #include <memory>
@@ -10,8 +10,8 @@
 
 namespace pierbank {
 
-/** How long a CertainCommit tries. */
-struct CommitPatience {
+/** How long a CommitResolver tries. */
+struct CommitRetryPolicy {
     /** After this time the outcome may stay unknown; zero: try until it is known. */
     Millis m_limit{0};
     /** Whether a refused transaction is tried again within the limit. */
@@ -24,11 +24,11 @@
  * one of them take effect: so OK means that it is this one, and on a conflict the values of the
  * written keys tell whether an earlier try was.
  *
- *     CertainCommit::run(store, loop, transaction, patience, [](const StoreCommit& commit) {...});
+ *     CommitResolver::run(store, loop, transaction, patience, [](const StoreCommit& commit) {...});
  *
  * On OK the revision is that of the written keys. On CONFLICT nothing was or will be written.
  */
-class CertainCommit {
+class CommitResolver {
 public:
     using Callback = std::function<void(const StoreCommit&)>;
 
@@ -36,9 +36,9 @@
     using Guard = std::weak_ptr<bool>;
 
     static void run(RecordStore& store, EventLoop& loop, StoreTransaction transaction,
-                    CommitPatience patience, const Guard& guard, Callback done);
+                    CommitRetryPolicy patience, const Guard& guard, Callback done);
 };
 
 }  // namespace pierbank
 
-#endif  // PIERBANK_CONTROL_CERTAINCOMMIT_H
+#endif  // PIERBANK_CONTROL_COMMITRESOLVER_H
--- a/libs/control/include/pierbank/control/ConfigurationFeed.h
+++ b/libs/control/include/pierbank/control/ConfigurationFeed.h
@@ -28,12 +28,12 @@
     /** Pause before a silent store is asked again; a read that waits finds out when it is back. */
     Millis m_probePause{50};
     /** Led gateways read for themselves only when what the leader tells is older than this. */
-    Millis m_mostNoticeAge{2500};
+    Millis m_maxNoticeAge{2500};
     /** Of this gateway's host, in megabits a second. */
     double m_linkMbps = 1000.0;
     /** A value that the link carries no faster is heavy: it is fetched once, and not by accident.
      */
-    Millis m_heavyTransfer{200};
+    Millis m_slowTransfer{200};
 };
 
 /** What another gateway says of the configuration. */
@@ -91,7 +91,9 @@
     StoreRevision getRevision() const noexcept { return m_revision; }
 
     /** Called when the store is lost to this gateway (false) or back (true). */
-    void onReach(std::function<void(bool)> callback) { m_onReach = std::move(callback); }
+    void onReachabilityChange(std::function<void(bool)> callback) {
+        m_onReachabilityChange = std::move(callback);
+    }
 
     /** The last confirming read failed. */
     bool isLost() const noexcept { return m_isLost; }
@@ -120,14 +122,14 @@
     void refresh(std::function<void()> done);
 
     /** Takes what the source said, asked or not. */
-    void learnNotice(const ConfigurationNotice& notice);
+    void applyNotice(const ConfigurationNotice& notice);
 
     /**
      * The value keeps this gateway's link busy for so long that no more than one may be under way:
      * what is decided by the view at hand has it confirmed first, since a transaction that meets a
      * newer configuration is answered with its value, each of them.
      */
-    bool isHeavy() const;
+    bool isSlowToTransfer() const;
 
     /** Takes an item that came along with another answer, and was read at `sentAt` or later. */
     void learn(const StoreItem& item, Millis sentAt);
@@ -146,7 +148,7 @@
     const DocumentCodec& m_codec;
     const ConfigurationFeedSettings m_settings;
     Callback m_onChange;
-    std::function<void(bool)> m_onReach = [](bool) {
+    std::function<void(bool)> m_onReachabilityChange = [](bool) {
     };
     std::optional<QueueConfiguration> m_configuration;
     StoreRevision m_revision = 0;
--- a/libs/control/include/pierbank/control/Documents.h
+++ b/libs/control/include/pierbank/control/Documents.h
@@ -9,13 +9,13 @@
 #include "pierbank/base/Findings.h"
 #include "pierbank/control/QueueConfiguration.h"
 #include "pierbank/job/JobRun.h"
-#include "pierbank/job/WorkerLife.h"
+#include "pierbank/job/WorkerIncarnation.h"
 
 namespace pierbank {
 
 /** What a worker says of itself to the sidecar on its host. */
-struct WorkerBeat {
-    WorkerLife m_life;
+struct WorkerHeartbeat {
+    WorkerIncarnation m_incarnation;
     std::string m_service;
     std::string m_failureDomain;
     std::string m_rack;
@@ -48,10 +48,10 @@
                                                                 Findings& findings) const = 0;
     virtual std::optional<JobSpec> readJob(std::string_view bytes, Findings& findings) const = 0;
     /** @param id names the worker; its beat tells when it started. */
-    virtual std::optional<WorkerBeat> readBeat(std::string_view id, std::string_view bytes,
-                                               Findings& findings) const = 0;
+    virtual std::optional<WorkerHeartbeat> readBeat(std::string_view id, std::string_view bytes,
+                                                    Findings& findings) const = 0;
     /** What a worker says as it ends. A body that can't be read tells no moment of start. */
-    virtual WorkerLife readLeave(std::string_view id, std::string_view bytes) const = 0;
+    virtual WorkerIncarnation readLeave(std::string_view id, std::string_view bytes) const = 0;
     virtual std::optional<WaveSpec> readWave(std::string_view bytes, Findings& findings) const = 0;
     virtual std::string writeWaveStatus(bool isDone) const = 0;
     virtual std::string writePhase(JobPhase phase) const = 0;
--- a/libs/control/include/pierbank/control/HostSpeeds.h
+++ b/libs/control/include/pierbank/control/HostSpeeds.h
@@ -32,7 +32,7 @@
 class HostSpeeds {
 public:
     /** Adds what one run tells; once a run, or a long one counts more than a short one. */
-    void note(const SpeedSample& sample, Millis now);
+    void recordSample(const SpeedSample& sample, Millis now);
     /** Work takes so many times as long there as on a mean host; 1 while nothing tells. */
     double getSlowness(std::string_view host) const;
     /** Runs that have told something of the host, older ones for less. */
--- a/libs/control/include/pierbank/control/LifeAccount.h
+++ b/libs/control/include/pierbank/control/IncarnationRuns.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef PIERBANK_CONTROL_LIFEACCOUNT_H
-#define PIERBANK_CONTROL_LIFEACCOUNT_H
+#ifndef PIERBANK_CONTROL_INCARNATIONRUNS_H
+#define PIERBANK_CONTROL_INCARNATIONRUNS_H
 
 #include <cstdint>
 #include <map>
@@ -19,22 +19,23 @@
  * tells nothing any more; which runs can have had to do with it only its sidecar knows. An order
  * that was refused, or went out when the worker did not answer any more, proves nothing.
  */
-class LifeAccount {
+class IncarnationRuns {
 public:
     using RunKey = std::pair<TaskKey, std::uint32_t>;
 
     /** A start goes out. */
-    void noteSent(const RunKey& run, Millis now);
+    void recordSent(const RunKey& run, Millis now);
     /** The worker said that it runs. */
-    void noteBegun(const RunKey& run, Millis now);
+    void recordStarted(const RunKey& run, Millis now);
     /** It is not there and never was, or never will be. */
-    void noteNotThere(const RunKey& run) { m_runs.erase(run); }
+    void recordAbsent(const RunKey& run) { m_runs.erase(run); }
     /** The worker answered a look. */
-    void noteLook(std::span<const ListedRun> running, std::span<const ListedEnd> ended, Millis now);
+    void recordPoll(std::span<const ListedRun> running, std::span<const ListedEnd> ended,
+                    Millis now);
     /** The worker did not answer. */
-    void noteNoAnswer(Millis now);
+    void recordNoAnswer(Millis now);
     /** @return what had begun or may have, the youngest first; the account begins anew. */
-    std::vector<CrashedRunEntry> endLife(Millis now);
+    std::vector<CrashedRunEntry> endIncarnation(Millis now);
 
 private:
     struct Run {
@@ -53,4 +54,4 @@
 
 }  // namespace pierbank
 
-#endif  // PIERBANK_CONTROL_LIFEACCOUNT_H
+#endif  // PIERBANK_CONTROL_INCARNATIONRUNS_H
--- a/libs/control/include/pierbank/control/JobCore.h
+++ b/libs/control/include/pierbank/control/JobCore.h
@@ -26,7 +26,7 @@
     WorkerPoolSettings m_workers;
     JobControllerSettings m_jobs;
     WaveControllerSettings m_waves;
-    LeadershipBidSettings m_bid;
+    LeadershipCandidacySettings m_bid;
     /** Where the leader connects to this gateway. */
     Address m_links;
 };
@@ -64,7 +64,7 @@
     void relay(const IntakeRequest& request, Millis patience,
                std::function<void(const std::optional<IntakeAnswer>&)> done) override;
     void countPending(std::function<void(const std::optional<PendingJobs>&)> done) override {
-        m_leaderLink.askPending(std::move(done));
+        m_leaderLink.queryPending(std::move(done));
     }
     void answerRelayed(const RelayedRequest& request,
                        std::function<void(const RelayedAnswer&)> done);
@@ -74,7 +74,7 @@
     const Address m_links;
     ConfigurationFeed m_configuration;
     JobIntake m_intake;
-    LeadershipBid m_bid;
+    LeadershipCandidacy m_bid;
     LeaderLock m_lock;
     JobController m_jobs;
     WaveController m_waves;
--- a/libs/control/include/pierbank/control/JobIntake.h
+++ b/libs/control/include/pierbank/control/JobIntake.h
@@ -14,7 +14,7 @@
 #include "pierbank/base/EventLoop.h"
 #include "pierbank/control/ConfigurationFeed.h"
 #include "pierbank/control/Documents.h"
-#include "pierbank/control/RetryAdvice.h"
+#include "pierbank/control/RetryAfterPolicy.h"
 #include "pierbank/store/RecordStore.h"
 
 namespace pierbank {
@@ -51,8 +51,8 @@
     Millis m_pendingAge{1000};
     /** An outcome that the store does not tell for so long is left to another gateway, or unknown.
      */
-    Millis m_commitPatience{1500};
-    RetryAdviceSettings m_retryAdvice;
+    Millis m_commitTimeout{1500};
+    RetryAfterPolicySettings m_retryAfterPolicy;
     /**
      * A submission whose write has no answer after this time is also handed to the leader: a
      * gateway that has just been cut off from the store does not know it, and held such a job for
@@ -166,7 +166,7 @@
     const DocumentCodec& m_codec;
     const IntakeSettings m_settings;
     IntakeRelay* m_relay = nullptr;
-    RetryAdvice m_retryAdvice;
+    RetryAfterPolicy m_retryAfterPolicy;
     std::function<void(std::string_view, std::string_view)> m_onWritten = [](std::string_view,
                                                                              std::string_view) {
     };
--- a/libs/control/include/pierbank/control/JobTable.h
+++ b/libs/control/include/pierbank/control/JobTable.h
@@ -32,11 +32,11 @@
     bool m_isDirty = false;
     /** A transaction with this job is under way. */
     bool m_isCommitting = false;
-    bool m_isCancelAsked = false;
+    bool m_isCancelRequested = false;
     /** The job's record and cancel are still in the store. */
     bool m_hasInput = true;
     /** What urgent work waited for in the last plan; empty: it did not. Told in the log. */
-    std::optional<UrgentWait::For> m_waitsFor;
+    std::optional<UrgentWait::Cause> m_waitsFor;
     /** Sent when the next commit of this job is known. */
     std::vector<PendingMessage> m_messages;
     /** Ends of runs that the next commit of this job keeps. */
--- a/libs/control/include/pierbank/control/LeaderLink.h
+++ b/libs/control/include/pierbank/control/LeaderLink.h
@@ -13,7 +13,7 @@
 #include "pierbank/control/ConfigurationFeed.h"
 #include "pierbank/control/JobIntake.h"
 #include "pierbank/control/LeaderPort.h"
-#include "pierbank/control/LeadershipBid.h"
+#include "pierbank/control/LeadershipCandidacy.h"
 
 namespace pierbank {
 
@@ -26,7 +26,7 @@
 class LeaderLink {
 public:
     /** Loop and bid must outlive the link; the bid hears what the leader tells of the fleet. */
-    LeaderLink(EventLoop& loop, LeadershipBid& bid);
+    LeaderLink(EventLoop& loop, LeadershipCandidacy& bid);
     LeaderLink(const LeaderLink&) = delete;
     LeaderLink& operator=(const LeaderLink&) = delete;
 
@@ -39,7 +39,9 @@
     void handleLink(std::shared_ptr<Link> link) { m_port.handleLink(std::move(link)); }
 
     /** Called once when a leader that was heard of is not any more. */
-    void onSilence(std::function<void()> callback) { m_onSilence = std::move(callback); }
+    void onLeaderTimeout(std::function<void()> callback) {
+        m_onLeaderTimeout = std::move(callback);
+    }
 
     /** Called with what the leader says of the configuration without being asked for it. */
     void onNotice(std::function<void(const ConfigurationNotice&)> callback) {
@@ -58,7 +60,7 @@
      * answer came in time. */
     void ask(NoticeCallback done);
     /** The same for the jobs that have not begun; with nothing when the leader can't tell. */
-    void askPending(PendingCallback done);
+    void queryPending(PendingCallback done);
 
     /**
      * Lets the leader answer a request. `done` is called once; with a status of zero when no
@@ -73,10 +75,10 @@
     void handleFrame(const Frame& frame);
     void handleLeader(const LeaderHello& hello);
     void keepAlive();
-    void learnNotice(const std::optional<ConfigurationNotice>& notice);
+    void applyNotice(const std::optional<ConfigurationNotice>& notice);
     void noteUse();
     using ReplyCallback = std::function<void(const std::optional<GatewayReply>&, Millis sentAt)>;
-    void sendQuestion(bool asksPending, ReplyCallback done);
+    void sendQuestion(bool wantsPending, ReplyCallback done);
     void finishQuestion(std::uint64_t number, const std::optional<GatewayReply>& reply);
     void handleReply(const GatewayReply& reply);
     void finishRelay(std::uint64_t number, const RelayedAnswer& answer);
@@ -85,11 +87,11 @@
     LeaderPort m_port;
     std::function<void(std::uint64_t)> m_onLeader = [](std::uint64_t) {
     };
-    std::function<void()> m_onSilence = [] {
+    std::function<void()> m_onLeaderTimeout = [] {
     };
     std::function<void(const ConfigurationNotice&)> m_onNotice = [](const ConfigurationNotice&) {
     };
-    LeadershipBid& m_bid;
+    LeadershipCandidacy& m_bid;
     struct Question {
         Millis m_sentAt{0};
         ReplyCallback m_done;
@@ -97,7 +99,7 @@
     std::map<std::uint64_t, Question> m_questions;
     std::uint64_t m_lastQuestion = 0;
     /** As the leader last told. */
-    Millis m_askInterval;
+    Millis m_requestInterval;
     bool m_wasUsable = false;
     std::map<std::uint64_t, AnswerCallback> m_relayed;
     std::uint64_t m_nextRelay = 1;
--- a/libs/control/include/pierbank/control/LeaderLock.h
+++ b/libs/control/include/pierbank/control/LeaderLock.h
@@ -47,15 +47,17 @@
     void onLost(std::function<void()> callback) { m_onLost = std::move(callback); }
 
     /** How long this gateway waits before it goes for a free key. */
-    void onBid(std::function<Millis()> getPause) { m_getBidPause = std::move(getPause); }
+    void setElectionDelayProvider(std::function<Millis()> getPause) {
+        m_getElectionDelay = std::move(getPause);
+    }
     /** Whether the leader is heard of over a link. */
-    void onAskLed(std::function<bool()> isLed) { m_isLed = std::move(isLed); }
+    void setLeaderProbe(std::function<bool()> hasLeader) { m_hasLeader = std::move(hasLeader); }
     /** Called when the store did not answer a look at the key. */
     void onUnanswered(std::function<void()> callback) { m_onUnanswered = std::move(callback); }
 
     void start();
     /** The leader is not heard of any more: looks at the key soon, whatever a watch says. */
-    void lookWithin(Millis pause);
+    void pollWithin(Millis pause);
     /** Gives the key back at once and does not try again. */
     void release();
     /** Somebody saw that another holds the key, or that this holder has to begin anew. */
@@ -70,12 +72,12 @@
 
 private:
     void look();
-    void handleLook(const StoreRead& read);
-    void lookLater(Millis pause);
+    void handlePoll(const StoreRead& read);
+    void pollLater(Millis pause);
     Millis getRetryPause() const;
     void follow(StoreRevision after);
     void handleChanges(const StoreChanges& changes);
-    void learnLeader(std::string_view value);
+    void updateLeader(std::string_view value);
     void bid();
     void cancelBid();
     void acquire();
@@ -89,10 +91,10 @@
     const LeaderLockSettings m_settings;
     std::function<void(StoreRevision)> m_onAcquired;
     std::function<void()> m_onLost;
-    std::function<Millis()> m_getBidPause = [] {
+    std::function<Millis()> m_getElectionDelay = [] {
         return Millis(0);
     };
-    std::function<bool()> m_isLed = [] {
+    std::function<bool()> m_hasLeader = [] {
         return false;
     };
     std::function<void()> m_onUnanswered = [] {
@@ -101,7 +103,7 @@
     TimerId m_bidTimer = TimerId::NONE;
     bool m_isAcquiring = false;
     /** Replaced with each look at the key: what earlier ones still bring is ignored. */
-    std::shared_ptr<bool> m_look;
+    std::shared_ptr<bool> m_poll;
     StoreRevision m_epoch = 0;
     StoreLease m_lease = 0;
     Millis m_confirmedAt{0};
--- a/libs/control/include/pierbank/control/LeaderPort.h
+++ b/libs/control/include/pierbank/control/LeaderPort.h
@@ -39,7 +39,7 @@
     /** Highest epoch seen; zero before the first. */
     std::uint64_t getEpoch() const noexcept { return m_epoch; }
     /** Time since something came from the leader. */
-    Millis getSilence() const { return m_loop.now() - m_heardAt; }
+    Millis getIdleTime() const { return m_loop.now() - m_lastReceivedAt; }
     /** @return false when no leader is linked. */
     bool send(const Frame& frame);
     /** Closes the leader's link; the leader may connect again. */
@@ -58,7 +58,7 @@
     /** Links whose first frame has not come. */
     std::vector<std::shared_ptr<Link>> m_newLinks;
     std::uint64_t m_epoch = 0;
-    Millis m_heardAt{0};
+    Millis m_lastReceivedAt{0};
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
 };
 
--- a/libs/control/include/pierbank/control/LeadershipBid.h
+++ b/libs/control/include/pierbank/control/LeadershipCandidacy.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef PIERBANK_CONTROL_LEADERSHIPBID_H
-#define PIERBANK_CONTROL_LEADERSHIPBID_H
+#ifndef PIERBANK_CONTROL_LEADERSHIPCANDIDACY_H
+#define PIERBANK_CONTROL_LEADERSHIPCANDIDACY_H
 
 #include <cstdint>
 
@@ -9,17 +9,17 @@
 
 namespace pierbank {
 
-struct LeadershipBidSettings {
+struct LeadershipCandidacySettings {
     /** Of one core; what the host gives to this gateway. */
     double m_processorShare = 1.0;
     double m_linkMbps = 1000.0;
     /** Bids of a fleet are spread over so long a gateway, so that few write at the same time. */
-    Millis m_spreadEach{2};
-    Millis m_mostSpread{200};
+    Millis m_spreadPerGateway{2};
+    Millis m_maxSpread{200};
     /** A gateway that has never had a leader does not know how many there are. */
     Millis m_unknownSpread{50};
     /** What a gateway without any fitness waits beyond the spread. */
-    Millis m_mostHandicap{100};
+    Millis m_maxFitnessDelay{100};
 };
 
 /**
@@ -29,11 +29,11 @@
  * best one that the last leader knew, or than one with a core of its own if there was none, waits
  * beyond the whole spread. It bids all the same: with none better left it leads.
  *
- * No clock, no network; the owner calls drawPause() when the key is free.
+ * No clock, no network; the owner calls drawElectionDelay() when the key is free.
  */
-class LeadershipBid {
+class LeadershipCandidacy {
 public:
-    LeadershipBid(LeadershipBidSettings settings, Random random)
+    LeadershipCandidacy(LeadershipCandidacySettings settings, Random random)
             : m_settings(settings), m_random(std::move(random)) {}
 
     /**
@@ -43,18 +43,18 @@
     std::uint32_t getFitness() const;
 
     /** How late a timer of this gateway's loop ran. */
-    void noteLag(Millis lag);
+    void recordLag(Millis lag);
 
     /** What a leader told: linked gateways, and the best fitness among them and itself. */
-    void noteFleet(std::uint32_t gateways, std::uint32_t bestFitness);
+    void recordFleet(std::uint32_t gateways, std::uint32_t bestFitness);
 
-    Millis drawPause();
+    Millis drawElectionDelay();
 
 private:
     Millis getSpread() const;
-    Millis getHandicap(Millis spread) const;
+    Millis getFitnessDelay(Millis spread) const;
 
-    const LeadershipBidSettings m_settings;
+    const LeadershipCandidacySettings m_settings;
     Random m_random;
     /** Fading mean, in milliseconds. */
     double m_lag = 0;
@@ -64,4 +64,4 @@
 
 }  // namespace pierbank
 
-#endif  // PIERBANK_CONTROL_LEADERSHIPBID_H
+#endif  // PIERBANK_CONTROL_LEADERSHIPCANDIDACY_H
--- a/libs/control/include/pierbank/control/OrderBook.h
+++ b/libs/control/include/pierbank/control/PendingOrders.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef PIERBANK_CONTROL_ORDERBOOK_H
-#define PIERBANK_CONTROL_ORDERBOOK_H
+#ifndef PIERBANK_CONTROL_PENDINGORDERS_H
+#define PIERBANK_CONTROL_PENDINGORDERS_H
 
 #include <cstdint>
 #include <map>
@@ -16,7 +16,7 @@
 
 namespace pierbank {
 
-/** What an OrderBook needs to know of its worker. */
+/** What a PendingOrders needs to know of its worker. */
 class OrderContext {
 public:
     virtual ~OrderContext() = default;
@@ -26,18 +26,18 @@
     virtual bool isListed(const TaskKey& task, std::uint32_t run) const = 0;
     virtual bool isEnded(const TaskKey& task, std::uint32_t run) const = 0;
     /** Looks at the worker once more. @return number of that look; looks count up. */
-    virtual std::uint64_t lookAgain() = 0;
+    virtual std::uint64_t pollAgain() = 0;
     /** A start goes out. */
-    virtual void noteSent(const TaskKey& task, std::uint32_t run) = 0;
+    virtual void recordSent(const TaskKey& task, std::uint32_t run) = 0;
     /** The worker said that the run is there. */
-    virtual void noteBegun(const TaskKey& task, std::uint32_t run) = 0;
+    virtual void recordStarted(const TaskKey& task, std::uint32_t run) = 0;
     /** The worker surely did not begin it. */
-    virtual void noteRefused(const TaskKey& task, std::uint32_t run) = 0;
+    virtual void recordRefused(const TaskKey& task, std::uint32_t run) = 0;
     /** The run is not there and never will be. */
     virtual void reportAbsent(const TaskKey& task, std::uint32_t run, std::string_view reason) = 0;
 };
 
-struct OrderBookSettings {
+struct PendingOrdersSettings {
     /** Tries of a start without an answer before the run is barred. */
     std::uint32_t m_startTries = 3;
     /** Pause before a stop that failed is sent again. */
@@ -55,23 +55,23 @@
  * lost may take effect seconds later: it is tried again, and then barred by a stop; a look that was
  * sent after the bar shows whether the run was there at all.
  */
-class OrderBook {
+class PendingOrders {
 public:
     /** The references must outlive the book. */
-    OrderBook(EventLoop& loop, TaskWorker& worker, OrderContext& context,
-              const OrderBookSettings& settings)
+    PendingOrders(EventLoop& loop, TaskWorker& worker, OrderContext& context,
+                  const PendingOrdersSettings& settings)
             : m_loop(loop), m_worker(worker), m_context(context), m_settings(settings) {}
-    OrderBook(const OrderBook&) = delete;
-    OrderBook& operator=(const OrderBook&) = delete;
+    PendingOrders(const PendingOrders&) = delete;
+    PendingOrders& operator=(const PendingOrders&) = delete;
 
     /** Does nothing for a run that has an order. */
     void start(const TaskKey& task, const RunOrder& order);
     /** Stops a run, or sees to it that it never begins. */
-    void bar(const TaskKey& task, std::uint32_t run, std::string_view reason);
+    void preventStart(const TaskKey& task, std::uint32_t run, std::string_view reason);
     /** Sends what waits for a lease. */
     void pump();
     /** A look has been taken; its number tells which bars it shows. */
-    void handleLook(std::uint64_t number);
+    void handlePoll(std::uint64_t number);
     /** Another leader or life: answers to what was sent before are ignored. */
     void clear();
 
@@ -87,7 +87,7 @@
         /** Under which its last call went out. */
         std::uint64_t m_fence = 0;
         /** The look that was taken after the run was barred; zero before. */
-        std::uint64_t m_checkLook = 0;
+        std::uint64_t m_checkPoll = 0;
         std::string m_reason;
     };
 
@@ -101,7 +101,7 @@
     EventLoop& m_loop;
     TaskWorker& m_worker;
     OrderContext& m_context;
-    const OrderBookSettings m_settings;
+    const PendingOrdersSettings m_settings;
     std::map<RunKey, Order> m_orders;
     /** Replaced by clear(). */
     std::shared_ptr<bool> m_term = std::make_shared<bool>(true);
@@ -109,4 +109,4 @@
 
 }  // namespace pierbank
 
-#endif  // PIERBANK_CONTROL_ORDERBOOK_H
+#endif  // PIERBANK_CONTROL_PENDINGORDERS_H
--- a/libs/control/include/pierbank/control/PlanPace.h
+++ b/libs/control/include/pierbank/control/PlanThrottle.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef PIERBANK_CONTROL_PLANPACE_H
-#define PIERBANK_CONTROL_PLANPACE_H
+#ifndef PIERBANK_CONTROL_PLANTHROTTLE_H
+#define PIERBANK_CONTROL_PLANTHROTTLE_H
 
 #include "pierbank/base/Clock.h"
 
@@ -11,12 +11,12 @@
  * new plan; on a slow host such plans took all of the processor, and the lease under which the host
  * led lapsed meanwhile. After each plan the rest of the leader's work gets its share of the time.
  */
-class PlanPace {
+class PlanThrottle {
 public:
     /** Of the time, what plans may take. */
     static constexpr double PLAN_SHARE = 0.25;
 
-    void notePlan(Millis begunAt, Millis endedAt) {
+    void recordPlan(Millis begunAt, Millis endedAt) {
         const auto took = static_cast<double>((endedAt - begunAt).count());
         const double pause = took * (1.0 - PLAN_SHARE) / PLAN_SHARE;
         m_nextAt = endedAt + Millis(static_cast<std::int64_t>(pause));
@@ -30,4 +30,4 @@
 
 }  // namespace pierbank
 
-#endif  // PIERBANK_CONTROL_PLANPACE_H
+#endif  // PIERBANK_CONTROL_PLANTHROTTLE_H
--- a/libs/control/include/pierbank/control/ProgressTracker.h
+++ b/libs/control/include/pierbank/control/ProgressTracker.h
@@ -69,8 +69,8 @@
      * Takes a host's whole report; runs that it does not list are forgotten.
      * @return for each run, once, how fast it advances.
      */
-    std::vector<ProgressRate> note(const std::string& host, const std::vector<ProgressReport>& runs,
-                                   Millis now);
+    std::vector<ProgressRate> recordReport(const std::string& host,
+                                           const std::vector<ProgressReport>& runs, Millis now);
     /** The host said nothing for a while: what was seen before is no base to judge by. */
     void forgetHost(const std::string& host) { m_hosts.erase(host); }
     void clear() { m_hosts.clear(); }
--- a/libs/control/include/pierbank/control/Registration.h
+++ b/libs/control/include/pierbank/control/Registration.h
@@ -22,8 +22,9 @@
      */
     static constexpr Millis CHECK{30'000};
 
-    /** Store and loop must outlive the registration. @param isLed whether a leader is linked. */
-    Registration(RecordStore& store, EventLoop& loop, std::function<bool()> isLed);
+    /** Store and loop must outlive the registration. @param hasLeader whether a leader is linked.
+     */
+    Registration(RecordStore& store, EventLoop& loop, std::function<bool()> hasLeader);
     Registration(const Registration&) = delete;
     Registration& operator=(const Registration&) = delete;
 
@@ -36,7 +37,7 @@
 
     RecordStore& m_store;
     EventLoop& m_loop;
-    const std::function<bool()> m_isLed;
+    const std::function<bool()> m_hasLeader;
     std::string m_key;
     bool m_isWriting = false;
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
--- a/libs/control/include/pierbank/control/RetryAdvice.h
+++ b/libs/control/include/pierbank/control/RetryAfterPolicy.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef PIERBANK_CONTROL_RETRYADVICE_H
-#define PIERBANK_CONTROL_RETRYADVICE_H
+#ifndef PIERBANK_CONTROL_RETRYAFTERPOLICY_H
+#define PIERBANK_CONTROL_RETRYAFTERPOLICY_H
 
 #include <cstdint>
 #include <optional>
@@ -10,7 +10,7 @@
 
 namespace pierbank {
 
-struct RetryAdviceSettings {
+struct RetryAfterPolicySettings {
     /** The header counts in seconds; sooner tells a caller nothing. */
     Millis m_least{1000};
     /** Outages of the store last seconds; whoever waits longer misses its return. */
@@ -32,18 +32,18 @@
  * of this one, and how long earlier ones lasted on the mean. Urgent callers come first, the
  * others are spread so that they don't all return at once.
  */
-class RetryAdvice {
+class RetryAfterPolicy {
 public:
-    explicit RetryAdvice(const RetryAdviceSettings& settings) : m_settings(settings) {}
+    explicit RetryAfterPolicy(const RetryAfterPolicySettings& settings) : m_settings(settings) {}
 
-    void noteLost(Millis now);
-    void noteRegained(Millis now);
+    void recordLost(Millis now);
+    void recordRegained(Millis now);
     Millis advise(const RefusedCaller& caller, Millis now) const;
 
 private:
     Millis expectRemaining(Millis now) const;
 
-    const RetryAdviceSettings m_settings;
+    const RetryAfterPolicySettings m_settings;
     std::optional<Millis> m_lostAt;
     /** Moving mean; empty before the first outage is over. */
     std::optional<Millis> m_typicalOutage;
@@ -51,4 +51,4 @@
 
 }  // namespace pierbank
 
-#endif  // PIERBANK_CONTROL_RETRYADVICE_H
+#endif  // PIERBANK_CONTROL_RETRYAFTERPOLICY_H
--- a/libs/control/include/pierbank/control/Pacer.h
+++ b/libs/control/include/pierbank/control/TaskThrottle.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef PIERBANK_CONTROL_PACER_H
-#define PIERBANK_CONTROL_PACER_H
+#ifndef PIERBANK_CONTROL_TASKTHROTTLE_H
+#define PIERBANK_CONTROL_TASKTHROTTLE_H
 
 #include <cstdint>
 #include <map>
@@ -14,14 +14,14 @@
 /** What kind of run it is, as far as pacing goes. */
 struct RunKind {
     /** It serves users: the tail of their answer times stays below this; zero: it does not. */
-    Millis m_targetTail{0};
+    Millis m_latencyTarget{0};
     /** It takes what others leave, and may be slowed down for them. */
     bool m_isFilling = false;
 
-    bool matters() const noexcept { return m_isFilling || m_targetTail > Millis(0); }
+    bool matters() const noexcept { return m_isFilling || m_latencyTarget > Millis(0); }
 };
 
-struct PacerSettings {
+struct TaskThrottleSettings {
     /** A tail above this share of its target slows filling tasks down... */
     double m_slowDownAt = 0.8;
     /** ...to this share of what they were set to; each look that still finds it so, again. */
@@ -37,18 +37,18 @@
  * Paces the filling tasks beside tasks that serve users, on one worker: fast down, slowly up, as
  * congestion control does. What fills is slowed all alike, since nobody tells which one disturbs.
  */
-class Pacer {
+class TaskThrottle {
 public:
     using RunKey = std::pair<TaskKey, std::uint32_t>;
 
-    explicit Pacer(PacerSettings settings = {}) : m_settings(settings) {}
+    explicit TaskThrottle(TaskThrottleSettings settings = {}) : m_settings(settings) {}
 
     void learn(const RunKey& run, const RunKind& kind);
     bool knows(const RunKey& run) const { return m_kinds.count(run) != 0; }
     /** Both kinds are there, so that looking often pays. */
     bool isNeeded() const noexcept { return m_isNeeded; }
     /** Takes a look at what runs. @return what has to be paced now. */
-    std::vector<PaceCall> look(const std::vector<ListedRun>& running, Millis now);
+    std::vector<ThrottleCall> look(const std::vector<ListedRun>& running, Millis now);
     /** A pace did not arrive: it is given again at the next look. */
     void forgetPace(const RunKey& run) { m_paces.erase(run); }
     /** Another life of the worker: nothing of before runs. */
@@ -59,7 +59,7 @@
     double getPressure(const std::vector<ListedRun>& running) const;
     void adjust(double pressure, Millis now);
 
-    const PacerSettings m_settings;
+    const TaskThrottleSettings m_settings;
     std::map<RunKey, RunKind> m_kinds;
     /** What each filling run was last set to; a run begins at 100. */
     std::map<RunKey, std::uint32_t> m_paces;
@@ -70,4 +70,4 @@
 
 }  // namespace pierbank
 
-#endif  // PIERBANK_CONTROL_PACER_H
+#endif  // PIERBANK_CONTROL_TASKTHROTTLE_H
--- a/libs/control/include/pierbank/control/TaskWorker.h
+++ b/libs/control/include/pierbank/control/TaskWorker.h
@@ -20,7 +20,7 @@
     /** Surely nothing was done. */
     REFUSED,
     /** A worker of another id answered: the one that was called is over. */
-    OTHER_LIFE,
+    OTHER_INCARNATION,
     /** No whole answer: it may have been done, or may be done seconds later. */
     UNKNOWN,
 };
@@ -67,21 +67,21 @@
 struct HoldReply {
     WorkerStatus m_status = WorkerStatus::UNKNOWN;
     /** When the process that answered started, as it says; zero: it says nothing. */
-    std::uint64_t m_bornAt = 0;
+    std::uint64_t m_processStartedAt = 0;
     /** The worker's steady clock as it answered. */
     Millis m_clock{0};
     std::vector<ListedRun> m_running;
     std::vector<ListedEnd> m_ended;
     std::string m_reason;
     /** Nothing listens at the worker's address. */
-    bool m_isNobodyThere = false;
+    bool m_isConnectionRefused = false;
 };
 
 /** What a sidecar asks of hold(). */
 struct HoldCall {
     /** Ends up to this number may be forgotten; zero for none. They are gone for good, so that it
      * is named only to the process that listed them. */
-    std::uint64_t m_lastKept = 0;
+    std::uint64_t m_lastPersisted = 0;
     /** Until when everything may run, on the clock of that process; never shortens. */
     std::optional<Millis> m_until;
     /** The answer may wait so long for an end; zero for at once. */
@@ -100,7 +100,7 @@
 };
 
 /** A run to be paced. */
-struct PaceCall {
+struct ThrottleCall {
     TaskKey m_task;
     std::uint32_t m_run = 0;
     /** Share at which it works, 0 to 100. */
@@ -116,7 +116,7 @@
     virtual void stop(const WorkerCall& call, const TaskKey& task, std::uint32_t run,
                       std::function<void(const RunReply&)> done) = 0;
     /** Sets the share at which a run works, and disturbs others, from soon after. */
-    virtual void pace(const WorkerCall& call, const PaceCall& pace,
+    virtual void pace(const WorkerCall& call, const ThrottleCall& pace,
                       std::function<void(const RunReply&)> done) = 0;
     virtual void hold(const WorkerCall& call, const HoldCall& hold,
                       std::function<void(const HoldReply&)> done) = 0;
--- a/libs/control/include/pierbank/control/AdviceBook.h
+++ b/libs/control/include/pierbank/control/TicketCache.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef PIERBANK_CONTROL_ADVICEBOOK_H
-#define PIERBANK_CONTROL_ADVICEBOOK_H
+#ifndef PIERBANK_CONTROL_TICKETCACHE_H
+#define PIERBANK_CONTROL_TICKETCACHE_H
 
 #include <compare>
 #include <cstdint>
@@ -28,15 +28,15 @@
 };
 
 /** A step that needs advice, as the last plan saw it. */
-struct AdviceWish {
+struct TicketRequest {
     StepKey m_step;
     std::uint32_t m_priority = 0;
     AdvicePolicy m_policy;
     /** Lives of the workers that could run it. */
-    std::vector<std::string> m_lives;
+    std::vector<std::string> m_incarnations;
 };
 
-struct AdviceBookSettings {
+struct TicketCacheSettings {
     /** Workers of one question: each costs time, and a step seldom needs more (users' rule). */
     std::size_t m_batch = 30;
     /** A ticket that is over sooner than this is not used any more. */
@@ -52,25 +52,27 @@
  * of these the ones that were asked about least. Which workers may run a step never changes, but
  * tickets run out and hold for one life of a worker.
  */
-class AdviceBook {
+class TicketCache {
 public:
     /** The references must outlive the book. */
-    AdviceBook(EventLoop& loop, Advisor& advisor, AdviceBookSettings settings = {})
+    TicketCache(EventLoop& loop, Advisor& advisor, TicketCacheSettings settings = {})
             : m_loop(loop), m_advisor(advisor), m_settings(settings) {}
-    AdviceBook(const AdviceBook&) = delete;
-    AdviceBook& operator=(const AdviceBook&) = delete;
+    TicketCache(const TicketCache&) = delete;
+    TicketCache& operator=(const TicketCache&) = delete;
 
     /** Called when an answer came. */
-    void onNews(std::function<void()> callback) { m_onNews = std::move(callback); }
+    void onTicketsChanged(std::function<void()> callback) {
+        m_onTicketsChanged = std::move(callback);
+    }
 
     /** Replaces all wishes; steps that are not named any more are forgotten. */
-    void wish(const std::vector<AdviceWish>& wishes);
+    void setRequests(const std::vector<TicketRequest>& wishes);
     /** The workers that hold good tickets for a job's steps. */
     AdvisedWorkers getAdvised(const std::string& job) const;
     /** The ticket for a start; empty when there is none. */
-    std::string getTicket(const StepKey& step, const std::string& life) const;
+    std::string getTicket(const StepKey& step, const std::string& incarnation) const;
     /** A worker refused the ticket: it is asked for again. */
-    void dropTicket(const StepKey& step, const std::string& life);
+    void dropTicket(const StepKey& step, const std::string& incarnation);
     void clear();
 
 private:
@@ -80,22 +82,22 @@
         Millis m_until{0};
     };
     struct Step {
-        AdviceWish m_wish;
+        TicketRequest m_wish;
         std::uint32_t m_questions = 0;
         std::map<std::string, Verdict> m_verdicts;
     };
 
-    bool isOpen(const Step& step, const std::string& life) const;
+    bool isOpen(const Step& step, const std::string& incarnation) const;
     std::vector<std::string> listOpen(const Step& step) const;
     void pump();
-    void ask(const StepKey& key, Step& step, std::vector<std::string> lives);
-    void handleReply(const StepKey& key, const std::vector<std::string>& lives, Millis askedAt,
-                     const AdviceReply& reply);
+    void ask(const StepKey& key, Step& step, std::vector<std::string> incarnations);
+    void handleReply(const StepKey& key, const std::vector<std::string>& incarnations,
+                     Millis askedAt, const AdviceReply& reply);
 
     EventLoop& m_loop;
     Advisor& m_advisor;
-    const AdviceBookSettings m_settings;
-    std::function<void()> m_onNews = [] {
+    const TicketCacheSettings m_settings;
+    std::function<void()> m_onTicketsChanged = [] {
     };
     std::map<StepKey, Step> m_steps;
     bool m_isAsking = false;
@@ -105,4 +107,4 @@
 
 }  // namespace pierbank
 
-#endif  // PIERBANK_CONTROL_ADVICEBOOK_H
+#endif  // PIERBANK_CONTROL_TICKETCACHE_H
--- a/libs/control/include/pierbank/control/UrgentDemand.h
+++ b/libs/control/include/pierbank/control/UrgentDemand.h
@@ -28,9 +28,9 @@
     explicit UrgentDemand(const UrgentDemandSettings& settings) : m_settings(settings) {}
 
     /** A job that was accepted at `acceptedAt`, wall time; others than urgent ones don't count. */
-    void note(const JobRecord& record);
+    void recordArrival(const JobRecord& record);
     /** Accelerators to keep for urgent jobs of a service, those that run included. */
-    std::uint32_t getReserve(const std::string& service, Millis wallNow) const;
+    std::uint32_t getHeadroom(const std::string& service, Millis wallNow) const;
     /** Services for which urgent work has arrived. */
     std::vector<std::string> listServices() const;
     void clear() { m_services.clear(); }
--- a/libs/control/include/pierbank/control/WaveController.h
+++ b/libs/control/include/pierbank/control/WaveController.h
@@ -41,7 +41,7 @@
     /** Time of one waiting watch of the waves. */
     Millis m_watchWait{10'000};
     /** Between two looks at the machines while a wave is under way. */
-    Millis m_lookInterval{500};
+    Millis m_pollInterval{500};
     /** A worker is emptied for so long at most, and for this share of a machine's turn in its wave.
      */
     Millis m_emptyTime{6000};
@@ -92,7 +92,7 @@
     void learn(const StoreItem& item);
     void loadState(std::uint64_t number);
     void look();
-    void lookLater();
+    void pollLater();
     void advance(Wave& wave, const std::map<std::string, Machine>& machines);
     void takeTurn(Wave& wave, const Machine& machine);
     void handleOrdered(std::uint64_t number, const std::string& machine, MachineOrderStatus status);
@@ -112,7 +112,7 @@
     StoreRevision m_watchedTo = 0;
     std::map<std::uint64_t, Wave> m_waves;
     std::set<std::string, std::less<>> m_leaving;
-    TimerId m_lookTimer = TimerId::NONE;
+    TimerId m_pollTimer = TimerId::NONE;
     /** Replaced with each term of leadership. */
     std::shared_ptr<bool> m_term;
 };
--- a/libs/control/include/pierbank/control/WorkerAgent.h
+++ b/libs/control/include/pierbank/control/WorkerAgent.h
@@ -14,20 +14,20 @@
 
 #include "pierbank/base/EventLoop.h"
 #include "pierbank/control/Documents.h"
+#include "pierbank/control/IncarnationRuns.h"
 #include "pierbank/control/LeaderPort.h"
-#include "pierbank/control/LifeAccount.h"
-#include "pierbank/control/OrderBook.h"
-#include "pierbank/control/Pacer.h"
+#include "pierbank/control/PendingOrders.h"
+#include "pierbank/control/TaskThrottle.h"
 #include "pierbank/control/TaskWorker.h"
 #include "pierbank/control/WorkerFence.h"
-#include "pierbank/job/WorkerLife.h"
+#include "pierbank/job/WorkerIncarnation.h"
 #include "pierbank/wire/Transport.h"
 
 namespace pierbank {
 
 struct WorkerAgentSettings {
     /** Time between two questions for the lease, unless the leader tells another. */
-    Millis m_askInterval{500};
+    Millis m_requestInterval{500};
     /** A hold waits so long for an end of a run; also the longest time between two renewals. */
     Millis m_holdWait{1000};
     /** The same while filling tasks are paced: what disturbs shifts within seconds. */
@@ -43,13 +43,13 @@
     Millis m_lateCalls{5000};
     /** A leader that has not answered so long after the next question was due is not asked any
      * more. */
-    Millis m_silence{1500};
+    Millis m_linkTimeout{1500};
     /** A worker that answered no hold for so long is silent: no lease is asked for it. One lost
      * answer takes up to about 2 s. */
-    Millis m_workerSilence{3000};
+    Millis m_workerTimeout{3000};
     /** The worker's clock may be slow by this much. */
     double m_clockSlack = 0.02;
-    OrderBookSettings m_orders;
+    PendingOrdersSettings m_orders;
 };
 
 /**
@@ -78,18 +78,18 @@
     /** A leader's link came. */
     void handleLink(std::shared_ptr<Link> link) { m_leader.handleLink(std::move(link)); }
     /** The worker said what it is. */
-    void handleBeat(const WorkerBeat& beat);
+    void handleHeartbeat(const WorkerHeartbeat& heartbeat);
     /** The worker said that it ends; without a moment of start it may be any process of that id. */
-    void handleLeave(const WorkerLife& life);
+    void handleLeave(const WorkerIncarnation& incarnation);
     /** Whether a leader is linked. */
-    bool isLed() const noexcept { return m_leader.isLinked(); }
+    bool hasLeader() const noexcept { return m_leader.isLinked(); }
 
 private:
     // The leader's link.
     void handleLeader(const LeaderHello& hello, bool isNewEpoch);
     void handleFrame(const Frame& frame);
     void handleRenewal(const LeaseRenewal& renewal);
-    void handleKept(const EndsKept& kept);
+    void handleEndsPersisted(const EndsPersisted& kept);
     void handleStart(const RunOrder& order);
     void handleStop(const RunStop& stop);
     void askSoon();
@@ -103,49 +103,49 @@
     void acknowledge();
     void sendHold(const HoldCall& call);
     void handleHold(const HoldReply& reply, std::uint64_t number);
-    void handleLook(const HoldReply& reply, std::uint64_t number);
+    void handlePoll(const HoldReply& reply, std::uint64_t number);
     void noteNobodyThere(bool isNobodyThere);
     void pace();
     Millis getHoldWait() const;
     std::optional<Millis> getUntil() const;
     bool hasLease() const;
-    bool isWorkerSilent() const;
-    void noteNoAnswer(const HoldReply& reply);
+    bool isWorkerUnresponsive() const;
+    void recordNoAnswer(const HoldReply& reply);
     void logNoAnswer(const HoldReply& reply, bool isFirst);
     Millis getAwayPause(const HoldReply& reply) const;
     void noteAnswer(std::uint64_t number);
 
-    // The worker's processes (WorkerAgentLife.cpp).
-    void takeBeat(const WorkerBeat& beat);
-    void claimLife(const WorkerBeat& beat);
+    // The worker's processes (WorkerAgentIncarnation.cpp).
+    void applyHeartbeat(const WorkerHeartbeat& heartbeat);
+    void setCandidate(const WorkerHeartbeat& heartbeat);
     void verifyClaim();
-    void handleVerified(const WorkerLife& claimed, const HoldReply& reply);
-    void refuteClaim(const WorkerLife& claimed);
+    void handleVerified(const WorkerIncarnation& claimed, const HoldReply& reply);
+    void refuteClaim(const WorkerIncarnation& claimed);
     void verifyLeave();
     void handleLeaveVerified(const HoldReply& reply);
     void leave();
-    void changeLife(const WorkerLife& life);
-    void beginLife(const WorkerLife& life);
-    void endLife();
-    void settleCrashes(const HoldReply& firstLook);
+    void changeIncarnation(const WorkerIncarnation& incarnation);
+    void beginIncarnation(const WorkerIncarnation& incarnation);
+    void endIncarnation();
+    void resolveCrashes(const HoldReply& firstLook);
     void look(const std::string& id, std::function<void(const HoldReply&)> done);
-    bool isPresent(const WorkerLife& life) const;
+    bool isPresent(const WorkerIncarnation& incarnation) const;
     bool isOther(const HoldReply& reply) const;
-    bool isNews(const WorkerBeat& beat) const;
+    bool isNews(const WorkerHeartbeat& heartbeat) const;
     Millis getColdLeft() const;
-    bool isFormer(const WorkerLife& life) const;
+    bool isFormer(const WorkerIncarnation& incarnation) const;
     /** The worker's present process has answered. */
     bool isConfirmed() const { return m_clock.has_value(); }
 
     // OrderContext.
-    WorkerCall getCall() const override { return {m_life.m_id, m_fence.get()}; }
+    WorkerCall getCall() const override { return {m_incarnation.m_id, m_fence.get()}; }
     std::optional<Millis> getStartLease() const override;
     bool isListed(const TaskKey& task, std::uint32_t run) const override;
     bool isEnded(const TaskKey& task, std::uint32_t run) const override;
-    std::uint64_t lookAgain() override;
-    void noteSent(const TaskKey& task, std::uint32_t run) override;
-    void noteBegun(const TaskKey& task, std::uint32_t run) override;
-    void noteRefused(const TaskKey& task, std::uint32_t run) override;
+    std::uint64_t pollAgain() override;
+    void recordSent(const TaskKey& task, std::uint32_t run) override;
+    void recordStarted(const TaskKey& task, std::uint32_t run) override;
+    void recordRefused(const TaskKey& task, std::uint32_t run) override;
     void reportAbsent(const TaskKey& task, std::uint32_t run, std::string_view reason) override;
 
     std::function<void()> guarded(std::function<void()> task);
@@ -154,31 +154,31 @@
     TaskWorker& m_worker;
     const WorkerAgentSettings m_settings;
     LeaderPort m_leader;
-    OrderBook m_orders;
-    Pacer m_pacer;
+    PendingOrders m_orders;
+    TaskThrottle m_pacer;
 
     WorkerFence m_fence;
-    WorkerLife m_life;
+    WorkerIncarnation m_incarnation;
     /** Its text, as messages have it. */
-    std::string m_lifeName;
+    std::string m_incarnationName;
     /** Lives that were followed by another one, or had been, the latest at the end. */
-    std::deque<WorkerLife> m_formerLives;
+    std::deque<WorkerIncarnation> m_previousIncarnations;
     /** The last heartbeat that named another life than the present one. */
-    std::optional<WorkerBeat> m_claim;
+    std::optional<WorkerHeartbeat> m_claim;
     bool m_isVerifying = false;
-    bool m_isGone = false;
-    std::optional<WorkerBeat> m_beat;
-    Millis m_beatAt{0};
+    bool m_hasExited = false;
+    std::optional<WorkerHeartbeat> m_heartbeat;
+    Millis m_heartbeatAt{0};
     /** The most that the present life said it has. */
-    Resources m_wholeCapacity;
-    LifeAccount m_account;
+    Resources m_fullCapacity;
+    IncarnationRuns m_account;
     /** Lives that ended unannounced while this sidecar ran, the latest at the end. */
     std::deque<WorkerCrash> m_crashes;
     /** The same before the first look at the next process shows what of it runs there after all. */
-    std::vector<WorkerCrash> m_openCrashes;
+    std::vector<WorkerCrash> m_unresolvedCrashes;
 
     /** As the leader last told. */
-    Millis m_askInterval;
+    Millis m_requestInterval;
     std::uint64_t m_askNumber = 0;
     std::map<std::uint64_t, Millis> m_asks;
     Millis m_leaseUntil{0};
@@ -188,7 +188,7 @@
     std::uint64_t m_holdNumber = 0;
     std::uint64_t m_holdSeen = 0;
     /** Ends of the present process up to this number are kept. */
-    std::uint64_t m_lastKept = 0;
+    std::uint64_t m_lastPersisted = 0;
     /** The worker has to be told so. */
     bool m_mustAcknowledge = false;
     /** It has answered a hold, and nothing failed since that was sent: it is the same process. */
@@ -200,7 +200,7 @@
     Millis m_answeredAt{0};
     Millis m_noAnswerLoggedAt{0};
     /** The last look found nothing that listens. */
-    bool m_isNobodyThere = false;
+    bool m_isConnectionRefused = false;
     TimerId m_holdTimer = TimerId::NONE;
     std::vector<ListedRun> m_running;
     std::vector<ListedEnd> m_ended;
--- a/libs/control/include/pierbank/control/WorkerHealth.h
+++ b/libs/control/include/pierbank/control/WorkerHealth.h
@@ -56,17 +56,17 @@
 public:
     explicit WorkerHealth(const WorkerHealthSettings& settings) : m_settings(settings) {}
 
-    void noteEnd(const RunEvidence& evidence, Millis now);
+    void recordRunEnd(const RunEvidence& evidence, Millis now);
     /**
      * Runs stood still there and are moved: as bad as one that failed quickly, however many they
      * are, since they stood for one cause. Before, 93 of 10,263 urgent jobs were put on a hanging
      * worker from which another had just been moved (720 days with faults).
      */
-    void noteStalled(const std::string& host, Millis now);
+    void recordStalled(const std::string& host, Millis now);
     /** When runs last stood still there; empty once one that began since has advanced. */
     std::optional<Millis> getStalledAt(const std::string& host) const;
     /** A run that began since then advances: what hung goes on. */
-    void noteAdvanced(const std::string& host, Millis now);
+    void recordAdvanced(const std::string& host, Millis now);
     /** New runs should go elsewhere. */
     bool isAvoided(const std::string& host, Millis now) const;
     /** It may have to be tried, but not with work that a failure costs much. */
--- a/libs/control/include/pierbank/control/WorkerPool.h
+++ b/libs/control/include/pierbank/control/WorkerPool.h
@@ -31,25 +31,25 @@
     /** Pause before a sidecar that could not be reached is tried again. */
     Millis m_reconnectPause{250};
     /** Hosts ask this often at least, and so many in all at most while their grants allow it. */
-    Millis m_leastAskInterval{500};
-    double m_asksPerSecond = 650;
+    Millis m_minRequestInterval{500};
+    double m_requestsPerSecond = 650;
     /** Of a grant, the longest time between two questions: two in a row may be lost. */
-    double m_askShare = 1.0 / 3;
+    double m_requestIntervalShare = 1.0 / 3;
     /** A link over which nothing came for so much longer than hosts are told to wait between two
      * questions is not that of a host that registers now. */
-    Millis m_quiet{200};
+    Millis m_idleSlack{200};
     /** The same, and it is given up. */
-    Millis m_silence{1500};
+    Millis m_linkTimeout{1500};
     /**
      * Links that are opened at the same time. A leader that opens all at once does nothing else
      * for as long as that takes, not even renew the lease under which it leads.
      */
-    std::size_t m_linksAtOnce = 32;
+    std::size_t m_maxOpeningLinks = 32;
     /** A host that does not answer for so long does not keep others waiting. */
-    Millis m_openPatience{100};
+    Millis m_linkOpenTimeout{100};
     /** A host out of reach for so long is forgotten; if it lives it registers again. Hosts are
      * replaced every day (240 of 690), and their addresses must not gather. */
-    Millis m_forgetAfter{600'000};
+    Millis m_hostExpiry{600'000};
 };
 
 /** Told of what the sidecars report. Hosts are named by the sidecar's address. */
@@ -65,11 +65,11 @@
     /** A gateway that can't reach the store asks for a caller's request to be answered. */
     virtual void handleRelayed(const std::string& host, const RelayedRequest& request) = 0;
     /** A gateway asks how old the configuration is. */
-    virtual void handleGatewayAsk(const std::string& host, const GatewayAsk& ask) = 0;
+    virtual void handleGatewayQuery(const std::string& host, const GatewayQuery& ask) = 0;
     /** Whatever ran there under an earlier grant has surely stopped. */
     virtual void handleHostLost(const std::string& host) = 0;
     /** It was out of reach for so long that the pool has forgotten it. */
-    virtual void handleHostGone(const std::string& host) = 0;
+    virtual void handleHostExpired(const std::string& host) = 0;
 };
 
 /** The leader's links to all sidecars, and the grants under which workers run tasks. */
@@ -81,7 +81,7 @@
         std::shared_ptr<Link> m_link;
         std::optional<WorkerNotice> m_notice;
         /** The last life that said that it leaves, or has left: its end is no crash. */
-        std::string m_leavingLife;
+        std::string m_leavingIncarnation;
         /** When the notice came; the time that a draining worker stays counts from then. */
         Millis m_noticeAt{0};
         /** The running tasks were reported over this link. */
@@ -91,21 +91,21 @@
         bool m_isConnecting = false;
         bool m_isLost = false;
         /** The sidecar lives, and its worker does not answer it. */
-        bool m_isWorkerSilent = false;
-        Millis m_heardAt{0};
+        bool m_isWorkerUnresponsive = false;
+        Millis m_lastReceivedAt{0};
         /** Until when tasks may run there at the latest. */
         Millis m_grantedUntil{0};
         /**
          * Not before: a call to the worker's former process that the present one carried out names
          * a time of the former's clock, which may be far ahead of a clock that began anew.
          */
-        Millis m_leastUntil{0};
+        Millis m_minLeaseEnd{0};
         /**
          * Orders that no report has shown yet, and when each was sent. The worker may start again
          * while one is on its way, without anybody hearing of it: what it begins then is leased by
          * a time of the former process's clock.
          */
-        std::map<std::pair<std::string, std::uint32_t>, Millis> m_unshownOrders;
+        std::map<std::pair<std::string, std::uint32_t>, Millis> m_unreportedOrders;
 
         bool isLinked() const noexcept { return m_link != nullptr; }
     };
@@ -123,10 +123,10 @@
 
     void addHost(const std::string& address);
     /** These are linked before others; call it before they are added. */
-    void setUrgentHosts(std::set<std::string, std::less<>> hosts);
+    void setPriorityHosts(std::set<std::string, std::less<>> hosts);
     /** Hosts that were known at the start of the term are not all linked, and have not had their
      * time. */
-    bool isOpeningFirst() const noexcept { return m_isOpeningFirst; }
+    bool isOpeningInitialLinks() const noexcept { return m_isOpeningInitialLinks; }
 
     /** Gateways that are linked, as counted a moment ago. */
     struct Gateways {
@@ -135,7 +135,7 @@
     };
     const Gateways& getGateways() const noexcept { return m_gateways; }
     /** How long hosts are told to wait between two questions. */
-    Millis getAskInterval() const;
+    Millis getRequestInterval() const;
     const std::map<std::string, Host>& getHosts() const noexcept { return m_hosts; }
     const Host* findHost(const std::string& address) const;
 
@@ -152,11 +152,11 @@
     void handleLink(const std::string& address, std::shared_ptr<Link> link);
     void handleFrame(const std::string& address, const Frame& frame);
     void reconnect(Host& host);
-    void answerAsk(Host& host, const LeaseAsk& ask);
+    void answerLeaseRequest(Host& host, const LeaseRequest& ask);
     void dropLink(const std::string& address, std::string_view why);
     void tick();
     void countGateways();
-    void forgetGone();
+    void removeExpiredHosts();
     Millis getLongestGrant() const;
     Millis withSlack(Millis lease) const;
     void takeNotice(Host& host, const WorkerNotice& notice);
@@ -172,10 +172,10 @@
     std::uint64_t m_epoch = 0;
     std::map<std::string, Host> m_hosts;
     Gateways m_gateways;
-    std::set<std::string, std::less<>> m_urgentHosts;
+    std::set<std::string, std::less<>> m_priorityHosts;
     /** Hosts whose links wait to be opened; urgent ones at the front. */
     std::deque<std::string> m_toOpen;
-    bool m_isOpeningFirst = false;
+    bool m_isOpeningInitialLinks = false;
     /** Hosts whose links are being opened, and until when others wait for that. */
     std::map<std::string, TimerId> m_opening;
     /** Links to each host in this term; kept when a host is forgotten, since its worker may live.
--- a/libs/control/src/RoomRefusals.cpp
+++ b/libs/control/src/CapacityRefusals.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "pierbank/control/RoomRefusals.h"
+#include "pierbank/control/CapacityRefusals.h"
 
 #include <algorithm>
 
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void RoomRefusals::note(const std::string& host, Millis now) {
+void CapacityRefusals::recordRefusal(const std::string& host, Millis now) {
     Pause& pause = m_pauses[host];
     if (now < pause.m_until) {
         // One of several starts that were under way together.
@@ -25,7 +25,7 @@
     pause.m_until = now + pause.m_length;
 }
 
-bool RoomRefusals::isPaused(const std::string& host, Millis now) const {
+bool CapacityRefusals::isPaused(const std::string& host, Millis now) const {
     const auto found = m_pauses.find(host);
     return found != m_pauses.end() && now < found->second.m_until;
 }
--- a/libs/control/src/CertainCommit.cpp
+++ b/libs/control/src/CommitResolver.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "pierbank/control/CertainCommit.h"
+#include "pierbank/control/CommitResolver.h"
 
 #include <algorithm>
 #include <utility>
@@ -18,9 +18,9 @@
     RecordStore* m_store = nullptr;
     EventLoop* m_loop = nullptr;
     StoreTransaction m_transaction;
-    CommitPatience m_patience;
-    CertainCommit::Guard m_guard;
-    CertainCommit::Callback m_done;
+    CommitRetryPolicy m_patience;
+    CommitResolver::Guard m_guard;
+    CommitResolver::Callback m_done;
     Millis m_startedAt{0};
     Millis m_tryTime = FIRST_TRY;
     /** An earlier try may have taken effect. */
@@ -110,8 +110,8 @@
 
 }  // namespace
 
-void CertainCommit::run(RecordStore& store, EventLoop& loop, StoreTransaction transaction,
-                        CommitPatience patience, const Guard& guard, Callback done) {
+void CommitResolver::run(RecordStore& store, EventLoop& loop, StoreTransaction transaction,
+                         CommitRetryPolicy patience, const Guard& guard, Callback done) {
     const auto attempt = std::make_shared<Attempt>();
     attempt->m_store = &store;
     attempt->m_loop = &loop;
--- a/libs/control/src/ConfigurationFeed.cpp
+++ b/libs/control/src/ConfigurationFeed.cpp
@@ -36,7 +36,7 @@
 /** While the store is lost its return is looked for, whatever the source says. */
 void ConfigurationFeed::poll() {
     const auto age = getAge();
-    const bool isOld = m_configuration.has_value() && *age > m_settings.m_mostNoticeAge;
+    const bool isOld = m_configuration.has_value() && *age > m_settings.m_maxNoticeAge;
     if (!hasUsableSource() || m_isLost || isOld) {
         confirm([](bool) {});
     }
@@ -71,12 +71,12 @@
             return;
         }
         // A newer one may take seconds to read; until then the source can answer in this place.
-        learnNotice(*notice);
+        applyNotice(*notice);
         done();
     });
 }
 
-void ConfigurationFeed::learnNotice(const ConfigurationNotice& notice) {
+void ConfigurationFeed::applyNotice(const ConfigurationNotice& notice) {
     m_newest = std::max(m_newest, notice.m_revision);
     if (isOutdated()) {
         confirm([](bool) {});
@@ -111,7 +111,7 @@
     m_isSilent = !isGood && m_loop.now() - sentAt > m_settings.m_quickRefusal;
     if (isGood == m_isLost) {
         m_isLost = !isGood;
-        m_onReach(isGood);
+        m_onReachabilityChange(isGood);
         logEvent(isGood ? Severity::INFO : Severity::WARNING, "configuration",
                  isGood ? "store-regained" : "store-lost",
                  {{"status", std::string(toText(read.m_status))}, {"reason", read.m_reason}});
@@ -166,7 +166,7 @@
                   {"revision", std::to_string(m_revision)},
                   {"routes", std::to_string(m_configuration->m_routes.size())},
                   {"bytes", std::to_string(m_valueBytes)},
-                  {"heavy", isHeavy() ? "yes" : "no"}});
+                  {"heavy", isSlowToTransfer() ? "yes" : "no"}});
         if (m_onChange) {
             m_onChange();
         }
@@ -176,16 +176,16 @@
     }
 }
 
-bool ConfigurationFeed::isHeavy() const {
+bool ConfigurationFeed::isSlowToTransfer() const {
     constexpr double BITS = 8.0;
     constexpr double BITS_PER_MILLI = 1000.0;
     const double transfer =
             static_cast<double>(m_valueBytes) * BITS / (m_settings.m_linkMbps * BITS_PER_MILLI);
-    return transfer > static_cast<double>(m_settings.m_heavyTransfer.count());
+    return transfer > static_cast<double>(m_settings.m_slowTransfer.count());
 }
 
 void ConfigurationFeed::keepWatching() {
-    if (!m_isWatching && !hasUsableSource() && !isHeavy()) {
+    if (!m_isWatching && !hasUsableSource() && !isSlowToTransfer()) {
         watch();
     }
 }
@@ -217,7 +217,7 @@
 /** They bring the value, which need not be read again, and tell nothing of its age. */
 void ConfigurationFeed::takeChanges(const StoreChanges& changes) {
     for (const StoreEvent& event : changes.m_events) {
-        if (m_confirmedAt.has_value() && !event.m_isGone &&
+        if (m_confirmedAt.has_value() && !event.m_isDeleted &&
             event.m_item.m_key == CONFIGURATION_KEY) {
             learn(event.m_item, *m_confirmedAt);
         }
--- a/libs/control/src/HostSpeeds.cpp
+++ b/libs/control/src/HostSpeeds.cpp
@@ -6,7 +6,7 @@
 
 namespace pierbank {
 
-void HostSpeeds::note(const SpeedSample& sample, Millis now) {
+void HostSpeeds::recordSample(const SpeedSample& sample, Millis now) {
     if (sample.m_rate <= 0) {
         return;
     }
--- a/libs/control/src/LifeAccount.cpp
+++ b/libs/control/src/IncarnationRuns.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "pierbank/control/LifeAccount.h"
+#include "pierbank/control/IncarnationRuns.h"
 
 #include <algorithm>
 
@@ -15,21 +15,21 @@
 
 }  // namespace
 
-void LifeAccount::noteSent(const RunKey& run, Millis now) {
+void IncarnationRuns::recordSent(const RunKey& run, Millis now) {
     if (!m_silentSince.has_value()) {
         m_runs.try_emplace(run, Run{now, false, 0});
     }
 }
 
-void LifeAccount::noteBegun(const RunKey& run, Millis now) {
+void IncarnationRuns::recordStarted(const RunKey& run, Millis now) {
     m_runs.try_emplace(run, Run{now, false, 0}).first->second.m_isConfirmed = true;
 }
 
-void LifeAccount::noteLook(std::span<const ListedRun> running, std::span<const ListedEnd> ended,
-                           Millis now) {
+void IncarnationRuns::recordPoll(std::span<const ListedRun> running,
+                                 std::span<const ListedEnd> ended, Millis now) {
     m_silentSince.reset();
     for (const ListedRun& run : running) {
-        noteBegun({run.m_task, run.m_run}, now);
+        recordStarted({run.m_task, run.m_run}, now);
     }
     for (const ListedEnd& end : ended) {
         m_runs.erase({end.m_task, end.m_run});
@@ -38,7 +38,7 @@
 }
 
 /** A start without an answer may still take effect, so only what was there can be missing. */
-void LifeAccount::forgetMissing(std::span<const ListedRun> running) {
+void IncarnationRuns::forgetMissing(std::span<const ListedRun> running) {
     for (auto& [key, run] : m_runs) {
         const bool isListed = std::any_of(
                 running.begin(), running.end(), [&, &key = key](const ListedRun& listed) {
@@ -49,13 +49,13 @@
     std::erase_if(m_runs, [](const auto& entry) { return entry.second.m_missed >= MISSED_LOOKS; });
 }
 
-void LifeAccount::noteNoAnswer(Millis now) {
+void IncarnationRuns::recordNoAnswer(Millis now) {
     if (!m_silentSince.has_value()) {
         m_silentSince = now;
     }
 }
 
-std::vector<CrashedRunEntry> LifeAccount::endLife(Millis now) {
+std::vector<CrashedRunEntry> IncarnationRuns::endIncarnation(Millis now) {
     const Millis endedAt = m_silentSince.value_or(now);
     std::vector<CrashedRunEntry> runs;
     for (const auto& [key, run] : m_runs) {
--- a/libs/control/src/JobController.cpp
+++ b/libs/control/src/JobController.cpp
@@ -8,7 +8,7 @@
 #include "pierbank/base/Log.h"
 #include "pierbank/control/StoreKeys.h"
 #include "pierbank/job/JobCodec.h"
-#include "pierbank/job/WorkerLife.h"
+#include "pierbank/job/WorkerIncarnation.h"
 
 namespace pierbank {
 
@@ -32,7 +32,7 @@
           m_advice(loop, advisor),
           m_evacuations(store, loop, m_settings.m_evacuations),
           m_weight(m_settings.m_planner.m_fragmentationWeight) {
-    m_advice.onNews([this] { stepSoon(); });
+    m_advice.onTicketsChanged([this] { stepSoon(); });
     m_evacuations.onChange([this] { handleEvacuations(); });
 }
 
@@ -63,43 +63,43 @@
     m_isLoaded = false;
     m_isCommitting = false;
     m_loop.cancel(std::exchange(m_stepTimer, TimerId::NONE));
-    m_loop.cancel(std::exchange(m_withdrawTimer, TimerId::NONE));
+    m_loop.cancel(std::exchange(m_revokeTimer, TimerId::NONE));
     m_loop.cancel(std::exchange(m_planTimer, TimerId::NONE));
     m_evacuations.stop();
-    m_emptiedDomains.clear();
+    m_statementEvacuations.clear();
     m_workers.stop();
     m_jobs.clear();
     m_ledger.clear();
     m_reports.clear();
     m_isPlanStale = true;
-    m_areViewsStale = true;
+    m_areSnapshotsStale = true;
     m_waiting = 0;
     m_urgentWaiting.clear();
     m_earlyCancels.clear();
     m_health.clear();
-    m_roomRefusals.clear();
+    m_capacityRefusals.clear();
     m_demand.clear();
     m_progress.clear();
     m_speeds.clear();
     m_advice.clear();
-    m_holds.clear();
+    m_adminStates.clear();
     m_unreadable.clear();
     m_judged.clear();
     m_openHosts.clear();
     m_leaving.clear();
 }
 
-void JobController::disown(std::string_view why) {
+void JobController::abandonLeadership(std::string_view why) {
     logEvent(Severity::WARNING, "jobs", "disowned",
              {{"epoch", std::to_string(m_epoch)}, {"reason", std::string(why)}});
     stepDown();
-    m_onDisowned();
+    m_onLeadershipLost();
 }
 
 std::string JobController::getNote(const std::string& job) const {
     std::vector<AdvisedWorkers> advised;
     std::string text;
-    for (const PlanNote& note : makePlan(listJobs(advised), true).m_notes) {
+    for (const PlanExplanation& note : makePlan(listJobs(advised), true).m_explanations) {
         if (note.m_job == job) {
             text = note.m_text;
         }
@@ -162,10 +162,10 @@
 
 void JobController::applyCancels() {
     for (auto& [id, entry] : m_jobs) {
-        if (!entry.m_isCancelAsked || entry.m_run.isOver()) {
+        if (!entry.m_isCancelRequested || entry.m_run.isFinished()) {
             continue;
         }
-        const std::vector<HeldRun> runs = applyCancel(id, entry.m_run, m_loop.wallNow());
+        const std::vector<ActiveRun> runs = applyCancel(id, entry.m_run, m_loop.wallNow());
         entry.m_isDirty = true;
         m_isPlanStale = true;
         logEvent(Severity::INFO, "jobs", "withdrawn",
@@ -184,14 +184,14 @@
 }
 
 void JobController::plan() {
-    wishForAdvice();
+    requestTickets();
     std::vector<AdvisedWorkers> advised;
     const Millis begunAt = m_loop.now();
     const TaskPlan plan = makePlan(listJobs(advised), false);
     m_isPlanStale = false;
     m_waiting = plan.m_waiting;
     m_plannedAt = m_loop.now();
-    m_pace.notePlan(begunAt, m_plannedAt);
+    m_pace.recordPlan(begunAt, m_plannedAt);
     notePlanTime(m_plannedAt - begunAt, plan);
     noteUrgentWaits(plan);
     place(plan.m_placements);
@@ -204,15 +204,15 @@
 }
 
 void JobController::notePlanTime(Millis took, const TaskPlan& plan) {
-    ++m_figures.m_plans;
-    m_figures.m_planTime.add(took);
+    ++m_statistics.m_plans;
+    m_statistics.m_planTime.add(took);
     if (took <= m_settings.m_slowPlan) {
         return;
     }
     logEvent(Severity::WARNING, "jobs", "slow-plan",
              {{"took_ms", std::to_string(took.count())},
               {"jobs", std::to_string(m_jobs.size())},
-              {"workers", std::to_string(m_views.size())},
+              {"workers", std::to_string(m_snapshots.size())},
               {"placed", std::to_string(plan.m_placements.size())},
               {"stopped", std::to_string(plan.m_stops.size())},
               {"waiting", std::to_string(plan.m_waiting)}});
@@ -224,12 +224,12 @@
     for (const UrgentWait& wait : plan.m_urgentWaits) {
         waiting.emplace(wait.m_job);
         JobEntry& entry = m_jobs.find(wait.m_job)->second;
-        if (std::exchange(entry.m_waitsFor, wait.m_for) == wait.m_for) {
+        if (std::exchange(entry.m_waitsFor, wait.m_cause) == wait.m_cause) {
             continue;
         }
         logEvent(Severity::INFO, "jobs", "waits",
                  {{"job", std::string(wait.m_job)},
-                  {"for", std::string(toText(wait.m_for))},
+                  {"for", std::string(toText(wait.m_cause))},
                   {"guaranteed", wait.m_isGuaranteed ? "yes" : "no"},
                   {"loss_core_s", std::to_string(std::lround(wait.m_loss))},
                   {"age_ms",
@@ -246,28 +246,28 @@
 
 // Workers that are emptied.
 
-std::string_view toText(WorkerHold hold) {
+std::string_view toText(WorkerAdminState hold) {
     switch (hold) {
-        case WorkerHold::RELEASE:
+        case WorkerAdminState::RELEASE:
             return "release";
-        case WorkerHold::QUARANTINE:
+        case WorkerAdminState::QUARANTINE:
             return "quarantine";
-        case WorkerHold::DRAIN:
+        case WorkerAdminState::DRAIN:
             break;
     }
     return "drain";
 }
 
-WorkerHold JobController::getHold(const std::string& host) const {
-    const auto found = m_holds.find(host);
-    return found == m_holds.end() ? WorkerHold::RELEASE : found->second;
+WorkerAdminState JobController::getAdminState(const std::string& host) const {
+    const auto found = m_adminStates.find(host);
+    return found == m_adminStates.end() ? WorkerAdminState::RELEASE : found->second;
 }
 
 /** @return null when no host that is known has a worker of this id. */
 const std::string* JobController::findHostOf(std::string_view worker) const {
-    const auto& views = viewWorkers();
-    const auto found = std::find_if(views.begin(), views.end(), [&](const WorkerView& view) {
-        return getWorkerIdOf(view.m_id.m_life) == worker;
+    const auto& views = getWorkerSnapshots();
+    const auto found = std::find_if(views.begin(), views.end(), [&](const WorkerSnapshot& view) {
+        return getWorkerIdOf(view.m_id.m_incarnation) == worker;
     });
     return found == views.end() ? nullptr : &found->m_id.m_host;
 }
@@ -279,11 +279,12 @@
         return load;
     }
     for (const auto& [id, entry] : m_jobs) {
-        for (const HeldRun& run : listHeldRunsOn(*host, id, entry.m_run)) {
-            if (getWorkerIdOf(run.m_worker.m_life) != worker || !entry.m_hasInput) {
+        for (const ActiveRun& run : listActiveRunsOn(*host, id, entry.m_run)) {
+            if (getWorkerIdOf(run.m_worker.m_incarnation) != worker || !entry.m_hasInput) {
                 continue;
             }
-            const bool isHeld = entry.m_record.m_spec.m_steps[run.m_task.m_step].m_mayMiss > 0;
+            const bool isHeld =
+                    entry.m_record.m_spec.m_steps[run.m_task.m_step].m_maxUnavailable > 0;
             load = std::max(load, isHeld ? WorkerLoad::HELD : WorkerLoad::BUSY);
         }
     }
@@ -297,12 +298,12 @@
     }
 }
 
-bool JobController::isLeaving(std::string_view life) const {
-    return !m_leaving.empty() && m_leaving.count(getWorkerIdOf(life)) != 0;
+bool JobController::isLeaving(std::string_view incarnation) const {
+    return !m_leaving.empty() && m_leaving.count(getWorkerIdOf(incarnation)) != 0;
 }
 
 void JobController::tick() {
-    forgetOver();
+    removeFinishedJobs();
     resendLostOrders();
     scheduleStep();
     m_loop.callLater(TICK, guarded([this] { tick(); }));
--- a/libs/control/src/JobControllerCommits.cpp
+++ b/libs/control/src/JobControllerCommits.cpp
@@ -11,7 +11,7 @@
 
 bool JobController::addToTransaction(const std::string& id, JobEntry& entry,
                                      StoreTransaction& transaction) {
-    const bool endsInput = entry.m_run.isOver() && entry.m_hasInput && entry.m_run.isIdle();
+    const bool endsInput = entry.m_run.isFinished() && entry.m_hasInput && entry.m_run.isIdle();
     constexpr std::size_t ENTRIES = 2;
     constexpr std::size_t ENTRIES_AT_END = 4;
     if (transaction.countEntries() + (endsInput ? ENTRIES_AT_END : ENTRIES) >
@@ -52,8 +52,8 @@
         return;
     }
     m_isCommitting = true;
-    ++m_figures.m_commits;
-    CommitPatience patience;
+    ++m_statistics.m_commits;
+    CommitRetryPolicy patience;
     patience.m_retriesRefusals = true;
     // What is decided while the transaction is under way has to wait for the next one.
     for (const std::string& id : ids) {
@@ -61,16 +61,16 @@
         entry.m_messagesUnderWay = std::exchange(entry.m_messages, {});
         entry.m_endsUnderWay = std::exchange(entry.m_ends, {});
     }
-    CertainCommit::run(m_store, m_loop, std::move(transaction), patience, m_term,
-                       [this, ids](const StoreCommit& commit) { handleCommitted(ids, commit); });
+    CommitResolver::run(m_store, m_loop, std::move(transaction), patience, m_term,
+                        [this, ids](const StoreCommit& commit) { handleCommitted(ids, commit); });
 }
 
 void JobController::handleCommitted(const std::vector<std::string>& ids,
                                     const StoreCommit& commit) {
     m_isCommitting = false;
     if (commit.m_status != StoreStatus::OK) {
-        disown("the store did not take a decision: " + std::string(toText(commit.m_status)) + " " +
-               commit.m_reason);
+        abandonLeadership("the store did not take a decision: " +
+                          std::string(toText(commit.m_status)) + " " + commit.m_reason);
         return;
     }
     for (const std::string& id : ids) {
@@ -81,17 +81,18 @@
             sendDecided(message);
         }
         for (const auto& [worker, number] : std::exchange(entry.m_endsUnderWay, {})) {
-            m_ledger.keep(worker, number);
-            sendKept(worker);
+            m_ledger.markPersisted(worker, number);
+            sendEndsPersisted(worker);
         }
     }
     step();
 }
 
-void JobController::sendKept(const WorkerId& worker) {
-    const std::uint64_t kept = m_ledger.getKept(worker);
+void JobController::sendEndsPersisted(const WorkerId& worker) {
+    const std::uint64_t kept = m_ledger.getPersisted(worker);
     const auto report = m_reports.find(worker.m_host);
-    if (kept == 0 || report == m_reports.end() || report->second.m_report.m_life != worker.m_life) {
+    if (kept == 0 || report == m_reports.end() ||
+        report->second.m_report.m_incarnation != worker.m_incarnation) {
         return;
     }
     const auto& ended = report->second.m_report.m_ended;
@@ -99,19 +100,20 @@
         return end.m_number <= kept;
     });
     if (isListed) {
-        m_workers.send(worker.m_host, EndsKept{worker.m_life, kept});
+        m_workers.send(worker.m_host, EndsPersisted{worker.m_incarnation, kept});
     }
 }
 
 /** Jobs that have been over for long go, a few at a time. */
-void JobController::forgetOver() {
+void JobController::removeFinishedJobs() {
     StoreTransaction transaction;
     transaction.m_conditions = {{std::string(LEADER_KEY), m_epoch}};
     std::vector<std::string> ids;
     for (const auto& [id, entry] : m_jobs) {
-        const bool isOld = entry.m_run.isOver() && !entry.m_hasInput && !entry.m_isDirty &&
-                           !entry.m_isCommitting &&
-                           m_loop.wallNow() - entry.m_run.m_endedAt > m_settings.m_keepOver;
+        const bool isOld =
+                entry.m_run.isFinished() && !entry.m_hasInput && !entry.m_isDirty &&
+                !entry.m_isCommitting &&
+                m_loop.wallNow() - entry.m_run.m_endedAt > m_settings.m_finishedJobRetention;
         if (isOld && transaction.countEntries() + 1 <= RecordStore::MAX_ENTRIES) {
             transaction.m_removals.push_back(getRunKey(id));
             ids.push_back(id);
@@ -128,10 +130,10 @@
     m_store.commit(transaction, PATIENCE, [](const StoreCommit&) {});
 }
 
-void JobController::handleHostGone(const std::string& host) {
+void JobController::handleHostExpired(const std::string& host) {
     m_reports.erase(host);
     acquit(host, "");
-    m_areViewsStale = true;
+    m_areSnapshotsStale = true;
     StoreTransaction transaction;
     transaction.m_conditions = {{std::string(LEADER_KEY), m_epoch}};
     transaction.m_removals = {getHostKey(host), getGatewayKey(host)};
--- a/libs/control/src/JobControllerEvacuations.cpp
+++ b/libs/control/src/JobControllerEvacuations.cpp
@@ -9,12 +9,12 @@
 
 namespace pierbank {
 
-bool JobController::isEmptied(std::string_view domain) const {
-    return m_emptiedDomains.count(domain) != 0;
+bool JobController::isEvacuatedByStatement(std::string_view domain) const {
+    return m_statementEvacuations.count(domain) != 0;
 }
 
 bool JobController::isEvacuated(std::string_view domain) const {
-    return m_evacuations.getDomains().count(domain) != 0 || isEmptied(domain);
+    return m_evacuations.getDomains().count(domain) != 0 || isEvacuatedByStatement(domain);
 }
 
 bool JobController::isHostEvacuated(const std::string& host) const {
@@ -23,11 +23,11 @@
            isEvacuated(known->m_notice->m_failureDomain);
 }
 
-void JobController::learnDomain(const std::string& domain, std::string_view word) {
+void JobController::updateDomain(const std::string& domain, std::string_view word) {
     if (word == EVACUATE_WORD) {
-        m_emptiedDomains.insert(domain);
+        m_statementEvacuations.insert(domain);
     } else if (word == RELEASE_WORD) {
-        m_emptiedDomains.erase(domain);
+        m_statementEvacuations.erase(domain);
     } else {
         noteUnreadable("jobs", "unreadable-domain",
                        {{"domain", domain}, {"value", std::string(word)}});
@@ -48,11 +48,11 @@
             resendOrders(host);
         }
     }
-    if (m_withdrawTimer == TimerId::NONE) {
-        m_withdrawTimer = m_loop.callLater(m_settings.m_beginPatience, guarded([this] {
-                                               m_withdrawTimer = TimerId::NONE;
-                                               withdrawUnbegun();
-                                           }));
+    if (m_revokeTimer == TimerId::NONE) {
+        m_revokeTimer = m_loop.callLater(m_settings.m_startTimeout, guarded([this] {
+                                             m_revokeTimer = TimerId::NONE;
+                                             revokeUnstarted();
+                                         }));
     }
     stepSoon();
 }
@@ -62,28 +62,28 @@
  * begin at any time: an order got lost and would be sent again, a sidecar holds one that its worker
  * has not answered, a link is down.
  */
-void JobController::withdrawUnbegun() {
+void JobController::revokeUnstarted() {
     for (auto& [id, entry] : m_jobs) {
         if (!entry.m_hasInput) {
             continue;
         }
-        for (const HeldRun& run : listHeldRuns(id, entry.m_run)) {
+        for (const ActiveRun& run : listActiveRuns(id, entry.m_run)) {
             const auto report = m_reports.find(run.m_worker.m_host);
             const bool hasBegun =
                     report != m_reports.end() && isShown(run, report->second.m_report);
             if (!run.m_isStopping && !hasBegun && isHostEvacuated(run.m_worker.m_host)) {
-                withdraw(entry, run);
+                revoke(entry, run);
             }
         }
     }
 }
 
-void JobController::withdraw(JobEntry& entry, const HeldRun& run) {
-    const auto held = entry.m_run.findHeldRun(run.m_task, run.m_run);
+void JobController::revoke(JobEntry& entry, const ActiveRun& run) {
+    const auto held = entry.m_run.findActiveRun(run.m_task, run.m_run);
     if (!held.has_value() || held->m_isStopping) {
         return;
     }
-    ++m_figures.m_withdrawn;
+    ++m_statistics.m_revoked;
     stop({run.m_task, run.m_run,
           "taken back: the failure domain of " + run.m_worker.m_host + " is under evacuation"});
 }
@@ -102,9 +102,9 @@
     if (isHostEvacuated(message.m_host)) {
         const auto key = TaskKey::parse(order->m_task);
         JobEntry& entry = m_jobs.find(key->m_job)->second;
-        const auto held = entry.m_run.findHeldRun(*key, order->m_run);
+        const auto held = entry.m_run.findActiveRun(*key, order->m_run);
         if (held.has_value()) {
-            withdraw(entry, *held);
+            revoke(entry, *held);
         }
     } else if (m_evacuations.isCertain()) {
         m_workers.send(message.m_host, message.m_frame);
--- a/libs/control/src/JobControllerGateways.cpp
+++ b/libs/control/src/JobControllerGateways.cpp
@@ -32,9 +32,9 @@
     }
 }
 
-void JobController::handleGatewayAsk(const std::string& host, const GatewayAsk& ask) {
+void JobController::handleGatewayQuery(const std::string& host, const GatewayQuery& ask) {
     GatewayReply reply = makeGatewayReply(ask.m_number);
-    if (ask.m_asksPending && isSureToLead()) {
+    if (ask.m_wantsPending && isLeadershipConfirmed()) {
         reply.m_knowsPending = true;
         reply.m_pending = countPending();
     }
@@ -42,15 +42,15 @@
 }
 
 /** A successor may know of jobs that this gateway does not, as soon as its lease may be over. */
-bool JobController::isSureToLead() const {
-    return m_isLoaded && m_loop.now() - m_getConfirmedAt() <= m_settings.m_sureToLead;
+bool JobController::isLeadershipConfirmed() const {
+    return m_isLoaded && m_loop.now() - m_getConfirmedAt() <= m_settings.m_maxConfirmationAge;
 }
 
 std::vector<PendingEntry> JobController::countPending() const {
     std::map<std::string, std::uint64_t> counts;
     for (const auto& [id, entry] : m_jobs) {
-        const bool isPending = entry.m_hasInput && !entry.m_run.m_hasBegun &&
-                               !entry.m_run.isOver() && !entry.m_record.m_spec.isTimed();
+        const bool isPending = entry.m_hasInput && !entry.m_run.m_hasStarted &&
+                               !entry.m_run.isFinished() && !entry.m_record.m_spec.isTimed();
         if (isPending) {
             ++counts[entry.m_record.m_policy.m_queue];
         }
@@ -70,7 +70,7 @@
         reply.m_revision = m_configuration.getRevision();
         reply.m_ageMs = static_cast<std::uint64_t>(age->count());
     }
-    reply.m_askAfterMs = static_cast<std::uint64_t>(m_workers.getAskInterval().count());
+    reply.m_nextRequestMs = static_cast<std::uint64_t>(m_workers.getRequestInterval().count());
     const WorkerPool::Gateways& gateways = m_workers.getGateways();
     reply.m_gateways = gateways.m_count;
     reply.m_bestFitness = std::max(gateways.m_bestFitness, m_getFitness());
--- a/libs/control/src/JobControllerLosses.cpp
+++ b/libs/control/src/JobControllerLosses.cpp
@@ -12,7 +12,7 @@
     switch (cause) {
         case LossCause::LEASE_LAPSED:
             return "the lease of the worker has lapsed";
-        case LossCause::OTHER_LIFE:
+        case LossCause::OTHER_INCARNATION:
             return "the worker has another life";
         case LossCause::WORKER_LEFT:
             break;
@@ -23,7 +23,7 @@
 template <typename Function>
 void JobController::forEachOpenLoss(Function function) {
     for (auto& [id, entry] : m_jobs) {
-        if (entry.m_run.isOver()) {
+        if (entry.m_run.isFinished()) {
             continue;
         }
         forEachTask(id, entry.m_run, [&, &entry = entry](const TaskKey& key, TaskRun& task) {
@@ -31,7 +31,7 @@
             const std::vector<RunLoss> known(task.m_losses.list().begin(),
                                              task.m_losses.list().end());
             for (const RunLoss& loss : known) {
-                if (loss.m_verdict == LossVerdict::OPEN) {
+                if (loss.m_category == LossCategory::UNRESOLVED) {
                     function(entry, key, loss);
                 }
             }
@@ -46,9 +46,10 @@
 
 namespace {
 
-const WorkerCrash* findCrash(const WorkerNotice& notice, const std::string& life) {
-    const auto found = std::find_if(notice.m_crashes.begin(), notice.m_crashes.end(),
-                                    [&](const WorkerCrash& crash) { return crash.m_life == life; });
+const WorkerCrash* findCrash(const WorkerNotice& notice, const std::string& incarnation) {
+    const auto found = std::find_if(
+            notice.m_crashes.begin(), notice.m_crashes.end(),
+            [&](const WorkerCrash& crash) { return crash.m_incarnation == incarnation; });
     return found == notice.m_crashes.end() ? nullptr : &*found;
 }
 
@@ -59,58 +60,59 @@
  * record: with a run that just went back to waiting, a task that crashes its workers was started 27
  * times in 81 s.
  */
-void JobController::loseRuns(const std::string& host, const std::string& exceptLife,
+void JobController::loseRuns(const std::string& host, const std::string& exceptIncarnation,
                              LossCause cause) {
     for (auto& [id, entry] : m_jobs) {
-        for (const HeldRun& run : listHeldRunsOn(host, id, entry.m_run)) {
-            if (!exceptLife.empty() && run.m_worker.m_life == exceptLife) {
+        for (const ActiveRun& run : listActiveRunsOn(host, id, entry.m_run)) {
+            if (!exceptIncarnation.empty() && run.m_worker.m_incarnation == exceptIncarnation) {
                 continue;
             }
-            ++m_figures.m_lost;
+            ++m_statistics.m_lost;
             const Millis ran = m_loop.wallNow() - run.m_placedAt;
             logEvent(Severity::WARNING, "jobs", "run-lost",
                      {{"task", run.m_task.toText()},
                       {"run", std::to_string(run.m_run)},
                       {"host", host},
-                      {"life", run.m_worker.m_life},
+                      {"life", run.m_worker.m_incarnation},
                       {"ran_ms", std::to_string(ran.count())},
                       {"cores", std::to_string(getWeight(entry.m_record, run.m_task))},
                       {"reason", std::string(toText(cause))}});
-            if (const auto verdict = getVerdict(entry, run, cause)) {
-                noteLoss(entry, run.m_task, {run.m_worker, run.m_run, *verdict, ran});
-            } else if (cause == LossCause::OTHER_LIFE && hadNotBegun(run)) {
-                entry.m_run.findTask(run.m_task)->m_losses.noteNotBegun(run.m_run);
+            if (const auto category = classifyLoss(entry, run, cause)) {
+                recordLoss(entry, run.m_task, {run.m_worker, run.m_run, *category, ran});
+            } else if (cause == LossCause::OTHER_INCARNATION && neverStarted(run)) {
+                entry.m_run.findTask(run.m_task)->m_losses.recordNeverStarted(run.m_run);
             }
             takeEffect(entry, applyNotRunning(entry.m_record, entry.m_run, run.m_task, run.m_run,
                                               m_loop.wallNow()));
-            takeEffect(entry, giveUpIfProved(entry.m_run, run.m_task, m_loop.wallNow()));
+            takeEffect(entry, failIfProvenFaulty(entry.m_run, run.m_task, m_loop.wallNow()));
         }
     }
 }
 
 /** @return nothing for a loss that speaks against nobody, or was judged already. */
-std::optional<LossVerdict> JobController::getVerdict(const JobEntry& entry, const HeldRun& run,
-                                                     LossCause cause) const {
+std::optional<LossCategory> JobController::classifyLoss(const JobEntry& entry, const ActiveRun& run,
+                                                        LossCause cause) const {
     const WorkerPool::Host* const host = m_workers.findHost(run.m_worker.m_host);
     const bool hasLeft = cause == LossCause::WORKER_LEFT || host == nullptr ||
-                         host->m_leavingLife == run.m_worker.m_life ||
-                         isLeaving(run.m_worker.m_life);
+                         host->m_leavingIncarnation == run.m_worker.m_incarnation ||
+                         isLeaving(run.m_worker.m_incarnation);
     if (hasLeft || entry.hasPendingMessage(run.m_task.toText(), run.m_run)) {
         return std::nullopt;
     }
     if (cause == LossCause::LEASE_LAPSED) {
-        return LossVerdict::OPEN;
+        return LossCategory::UNRESOLVED;
     }
-    const bool isJudged = findCrash(*host->m_notice, run.m_worker.m_life) != nullptr;
-    return isJudged ? std::nullopt : std::optional(LossVerdict::HOST_LOST);
+    const bool isJudged = findCrash(*host->m_notice, run.m_worker.m_incarnation) != nullptr;
+    return isJudged ? std::nullopt : std::optional(LossCategory::HOST_LOST);
 }
 
 /** The sidecar tells of each run whose start went out to a worker that crashed. */
-bool JobController::hadNotBegun(const HeldRun& run) const {
+bool JobController::neverStarted(const ActiveRun& run) const {
     const WorkerPool::Host* const host = m_workers.findHost(run.m_worker.m_host);
-    const WorkerCrash* const crash = host == nullptr || !host->m_notice.has_value()
-                                             ? nullptr
-                                             : findCrash(*host->m_notice, run.m_worker.m_life);
+    const WorkerCrash* const crash =
+            host == nullptr || !host->m_notice.has_value()
+                    ? nullptr
+                    : findCrash(*host->m_notice, run.m_worker.m_incarnation);
     const std::string name = run.m_task.toText();
     return crash != nullptr && std::none_of(crash->m_runs.begin(), crash->m_runs.end(),
                                             [&](const CrashedRunEntry& one) {
@@ -118,10 +120,10 @@
                                             });
 }
 
-void JobController::judgeCrashes(const std::string& host, const WorkerNotice& notice) {
+void JobController::classifyCrashes(const std::string& host, const WorkerNotice& notice) {
     for (const WorkerCrash& crash : notice.m_crashes) {
-        if (m_judged.insert(crash.m_life).second) {
-            judgeCrash(host, crash);
+        if (m_judged.insert(crash.m_incarnation).second) {
+            classifyCrash(host, crash);
         }
     }
 }
@@ -132,7 +134,7 @@
 }
 
 /** The verdict may come long after the run was released, and under another leader. */
-void JobController::judgeCrash(const std::string& host, const WorkerCrash& crash) {
+void JobController::classifyCrash(const std::string& host, const WorkerCrash& crash) {
     std::vector<CrashedRun> runs;
     for (const CrashedRunEntry& entry : crash.m_runs) {
         if (auto key = TaskKey::parse(entry.m_task)) {
@@ -143,41 +145,42 @@
                             wasSuspect});
         }
     }
-    const std::vector<LossVerdict> verdicts = pierbank::judgeCrash(runs);
+    const std::vector<LossCategory> verdicts = pierbank::classifyCrash(runs);
     for (std::size_t i = 0; i < runs.size(); ++i) {
         const CrashedRun& run = runs[i];
         const TaskRun* const task = findTask(run.m_task);
         if (task != nullptr && task->m_state != TaskState::DONE && run.m_run <= task->m_lastRun) {
-            const LossVerdict verdict = crash.m_wasLeaving ? LossVerdict::BESIDE : verdicts[i];
-            noteLoss(m_jobs.find(run.m_task.m_job)->second, run.m_task,
-                     {{host, crash.m_life}, run.m_run, verdict, run.m_ran});
+            const LossCategory category =
+                    crash.m_wasLeaving ? LossCategory::BYSTANDER : verdicts[i];
+            recordLoss(m_jobs.find(run.m_task.m_job)->second, run.m_task,
+                       {{host, crash.m_incarnation}, run.m_run, category, run.m_ran});
         }
     }
 }
 
-void JobController::noteLoss(JobEntry& entry, const TaskKey& key, const RunLoss& loss) {
+void JobController::recordLoss(JobEntry& entry, const TaskKey& key, const RunLoss& loss) {
     TaskRun* const task = entry.m_run.findTask(key);
-    if (task == nullptr || entry.m_run.isOver() || !task->m_losses.note(loss)) {
+    if (task == nullptr || entry.m_run.isFinished() || !task->m_losses.record(loss)) {
         return;
     }
     entry.m_isDirty = true;
-    if (loss.m_verdict == LossVerdict::OPEN) {
+    if (loss.m_category == LossCategory::UNRESOLVED) {
         m_openHosts.insert(loss.m_worker.m_host);
     }
     logEvent(Severity::WARNING, "jobs", "loss-judged",
              {{"task", key.toText()},
               {"run", std::to_string(loss.m_run)},
               {"host", loss.m_worker.m_host},
-              {"life", loss.m_worker.m_life},
+              {"life", loss.m_worker.m_incarnation},
               {"ran_ms", std::to_string(loss.m_ran.count())},
-              {"verdict", std::string(toText(loss.m_verdict))},
+              {"verdict", std::string(toText(loss.m_category))},
               {"losses", std::to_string(task->m_losses.list().size())}});
-    takeEffect(entry, giveUpIfProved(entry.m_run, key, m_loop.wallNow()));
+    takeEffect(entry, failIfProvenFaulty(entry.m_run, key, m_loop.wallNow()));
 }
 
 /** An open loss turns out to be none. */
 void JobController::forgetOpenLoss(JobEntry& entry, const TaskKey& key, const RunLoss& loss) {
-    entry.m_run.findTask(key)->m_losses.forgetOpen(loss.m_worker);
+    entry.m_run.findTask(key)->m_losses.discardUnresolved(loss.m_worker);
     entry.m_isDirty = true;
 }
 
@@ -186,21 +189,21 @@
     if (m_openHosts.count(host) == 0) {
         return;
     }
-    const std::string leaving = m_workers.findHost(host)->m_leavingLife;
+    const std::string leaving = m_workers.findHost(host)->m_leavingIncarnation;
     bool isOpen = false;
     forEachOpenLoss([&](JobEntry& entry, const TaskKey& key, RunLoss loss) {
-        const std::string& life = loss.m_worker.m_life;
+        const std::string& incarnation = loss.m_worker.m_incarnation;
         if (loss.m_worker.m_host != host) {
             return;
         }
-        if (life == notice.m_life) {
+        if (incarnation == notice.m_incarnation) {
             isOpen = true;
-        } else if (life == leaving || findCrash(notice, life) != nullptr) {
+        } else if (incarnation == leaving || findCrash(notice, incarnation) != nullptr) {
             // A crash that is told without the run: it had not begun there.
             forgetOpenLoss(entry, key, loss);
         } else {
-            loss.m_verdict = LossVerdict::HOST_LOST;
-            noteLoss(entry, key, loss);
+            loss.m_category = LossCategory::HOST_LOST;
+            recordLoss(entry, key, loss);
         }
     });
     if (!isOpen) {
@@ -209,7 +212,7 @@
 }
 
 /** The worker's life goes on after all; or, without a life, its host is gone for good. */
-void JobController::acquit(const std::string& host, const std::string& life) {
+void JobController::acquit(const std::string& host, const std::string& incarnation) {
     if (m_openHosts.count(host) == 0) {
         return;
     }
@@ -218,7 +221,7 @@
         if (loss.m_worker.m_host != host) {
             return;
         }
-        if (life.empty() || loss.m_worker.m_life == life) {
+        if (incarnation.empty() || loss.m_worker.m_incarnation == incarnation) {
             forgetOpenLoss(entry, key, loss);
         } else {
             isOpen = true;
@@ -233,8 +236,8 @@
 /** What goes on for long after it was lost several times did not crash its workers. */
 void JobController::refuteLosses(JobEntry& entry, const TaskKey& key, std::uint32_t run) {
     TaskRun* const task = entry.m_run.findTask(key);
-    const bool isRefuted = task != nullptr && task->holdsWorker() && task->m_run == run &&
-                           task->m_losses.isRefutedBy(m_loop.wallNow() - task->m_placedAt);
+    const bool isRefuted = task != nullptr && task->occupiesWorker() && task->m_run == run &&
+                           task->m_losses.isRefutedByRunTime(m_loop.wallNow() - task->m_placedAt);
     if (isRefuted) {
         task->m_losses.clear();
         entry.m_isDirty = true;
--- a/libs/control/src/JobControllerReports.cpp
+++ b/libs/control/src/JobControllerReports.cpp
@@ -9,23 +9,23 @@
 namespace pierbank {
 
 void JobController::handleWorkerChanged(const std::string& host) {
-    m_areViewsStale = true;
-    m_roomRefusals.forget(host);
+    m_areSnapshotsStale = true;
+    m_capacityRefusals.forget(host);
     const WorkerPool::Host* const known = m_workers.findHost(host);
     if (known == nullptr || !known->isLinked()) {
         m_progress.forgetHost(host);
     }
     if (known != nullptr && known->isLinked() && known->m_notice.has_value() &&
-        !known->m_notice->m_life.empty()) {
+        !known->m_notice->m_incarnation.empty()) {
         const WorkerNotice notice = *known->m_notice;
         // A crash is judged before its runs are released: the next plan has to know of it.
-        judgeCrashes(host, notice);
-        if (notice.m_isGone) {
+        classifyCrashes(host, notice);
+        if (notice.m_hasExited) {
             loseRuns(host, "", LossCause::WORKER_LEFT);
-        } else if (known->m_hasReport && getReportedLife(host) == notice.m_life) {
+        } else if (known->m_hasReport && getReportedIncarnation(host) == notice.m_incarnation) {
             // Not before the new life has told what runs there: it may have done what its former
             // process was called for, and placed anew that would run twice at once.
-            loseRuns(host, notice.m_life, LossCause::OTHER_LIFE);
+            loseRuns(host, notice.m_incarnation, LossCause::OTHER_INCARNATION);
         }
         settleOpenLosses(host, notice);
         if (known->m_hasReport) {
@@ -36,47 +36,48 @@
 }
 
 /** @return empty before the first report. */
-std::string_view JobController::getReportedLife(const std::string& host) const {
+std::string_view JobController::getReportedIncarnation(const std::string& host) const {
     const auto report = m_reports.find(host);
-    return report == m_reports.end() ? std::string_view() : report->second.m_report.m_life;
+    return report == m_reports.end() ? std::string_view() : report->second.m_report.m_incarnation;
 }
 
 void JobController::handleRunReport(const std::string& host, const RunReport& report) {
-    const WorkerId worker{host, report.m_life};
-    const bool isOtherLife = getReportedLife(host) != report.m_life;
+    const WorkerId worker{host, report.m_incarnation};
+    const bool isOtherLife = getReportedIncarnation(host) != report.m_incarnation;
     bool isNews = false;
     for (const EndedEntry& end : report.m_ended) {
-        if (m_ledger.note(worker, end.m_number)) {
+        if (m_ledger.recordReported(worker, end.m_number)) {
             applyRunEnd(worker, end);
             isNews = true;
         }
     }
     m_reports[host] = {report, m_loop.now()};
-    acquit(host, report.m_life);
+    acquit(host, report.m_incarnation);
     noteProgress(host, report);
-    stopStrays(worker, report);
-    sendKept(worker);
+    stopOrphanedRuns(worker, report);
+    sendEndsPersisted(worker);
     if (isOtherLife) {
         handleWorkerChanged(host);
     }
     // What runs only goes on: the next plan that is due sees how far.
     if (isNews) {
-        m_roomRefusals.forget(host);
+        m_capacityRefusals.forget(host);
         stepSoon();
     }
 }
 
 /** What runs without being held by a job, whatever it comes from, takes room and may run twice. */
-void JobController::stopStrays(const WorkerId& worker, const RunReport& report) {
+void JobController::stopOrphanedRuns(const WorkerId& worker, const RunReport& report) {
     for (const RunningEntry& running : report.m_running) {
         const auto key = TaskKey::parse(running.m_task);
         const auto found = key.has_value() ? m_jobs.find(key->m_job) : m_jobs.end();
         if (found != m_jobs.end() && findRunAt(found->second, *key, running.m_run, worker)) {
             continue;
         }
-        const bool isHeld = found != m_jobs.end() && found->second.m_hasInput &&
-                            holdStray(found->second.m_record, found->second.m_run,
-                                      {*key, running.m_run, worker, m_loop.wallNow(), true, false});
+        const bool isHeld =
+                found != m_jobs.end() && found->second.m_hasInput &&
+                trackOrphanedRun(found->second.m_record, found->second.m_run,
+                                 {*key, running.m_run, worker, m_loop.wallNow(), true, false});
         if (isHeld) {
             found->second.m_isDirty = true;
         }
@@ -86,7 +87,7 @@
                   {"host", worker.m_host},
                   {"held", isHeld ? "yes" : "no"}});
         m_workers.send(worker.m_host,
-                       RunStop{m_epoch, worker.m_life, running.m_task, running.m_run});
+                       RunStop{m_epoch, worker.m_incarnation, running.m_task, running.m_run});
     }
 }
 
@@ -94,9 +95,9 @@
  * The run with this number, if it holds this worker. One that holds a former life of the worker was
  * begun by the present one, on a call that came late: it is the same run, and goes on there.
  */
-std::optional<HeldRun> JobController::findRunAt(JobEntry& entry, const TaskKey& key,
-                                                std::uint32_t run, const WorkerId& worker) {
-    auto held = entry.m_run.findHeldRun(key, run);
+std::optional<ActiveRun> JobController::findRunAt(JobEntry& entry, const TaskKey& key,
+                                                  std::uint32_t run, const WorkerId& worker) {
+    auto held = entry.m_run.findActiveRun(key, run);
     if (!held.has_value() || held->m_worker.m_host != worker.m_host) {
         return std::nullopt;
     }
@@ -105,9 +106,9 @@
                  {{"task", key.toText()},
                   {"run", std::to_string(run)},
                   {"host", worker.m_host},
-                  {"life", worker.m_life},
-                  {"former", held->m_worker.m_life}});
-        moveRun(entry.m_run, *held, worker);
+                  {"life", worker.m_incarnation},
+                  {"former", held->m_worker.m_incarnation}});
+        rebindRun(entry.m_run, *held, worker);
         entry.m_isDirty = true;
         held->m_worker = worker;
     }
@@ -134,7 +135,7 @@
         }
     }
     const bool wasStalled = isStalled(host);
-    for (const ProgressRate& rate : m_progress.note(host, runs, m_loop.now())) {
+    for (const ProgressRate& rate : m_progress.recordReport(host, runs, m_loop.now())) {
         const auto reported = std::find_if(runs.begin(), runs.end(), [&](const auto& one) {
             return one.m_task == rate.m_task;
         });
@@ -143,11 +144,11 @@
         }
         TaskKey step = rate.m_task;
         step.m_index = 0;
-        m_speeds.note({report.m_life, step.toText(), rate.m_rate}, m_loop.now());
+        m_speeds.recordSample({report.m_incarnation, step.toText(), rate.m_rate}, m_loop.now());
     }
     const auto stalledAt = m_health.getStalledAt(host);
     if (stalledAt.has_value() && m_progress.hasAdvancedSince(host, *stalledAt)) {
-        m_health.noteAdvanced(host, m_loop.now());
+        m_health.recordAdvanced(host, m_loop.now());
         stepSoon();
     }
     if (!wasStalled && isStalled(host)) {
@@ -193,7 +194,7 @@
     const auto key = TaskKey::parse(end.m_task);
     const auto found = key.has_value() ? m_jobs.find(key->m_job) : m_jobs.end();
     if (found == m_jobs.end()) {
-        m_ledger.keep(worker, end.m_number);
+        m_ledger.markPersisted(worker, end.m_number);
         return;
     }
     JobEntry& entry = found->second;
@@ -218,18 +219,18 @@
               {"current", effect.m_isCurrent ? "yes" : "no"}});
     if (isHere) {
         const Millis ran = m_loop.wallNow() - held->m_placedAt;
-        m_health.noteEnd({worker.m_host, key->m_job, how, ran}, m_loop.now());
+        m_health.recordRunEnd({worker.m_host, key->m_job, how, ran}, m_loop.now());
     }
     if (effect.m_isCurrent) {
         entry.m_ends.emplace_back(worker, end.m_number);
         takeEffect(entry, effect);
-        takeEffect(entry, giveUpIfProved(entry.m_run, *key, m_loop.wallNow()));
+        takeEffect(entry, failIfProvenFaulty(entry.m_run, *key, m_loop.wallNow()));
     } else if (entry.m_isDirty || entry.m_isCommitting) {
         // A gang's other members: what makes this end old is not committed yet.
         entry.m_ends.emplace_back(worker, end.m_number);
         entry.m_isDirty = true;
     } else {
-        m_ledger.keep(worker, end.m_number);
+        m_ledger.markPersisted(worker, end.m_number);
     }
 }
 
@@ -243,7 +244,7 @@
         logEvent(Severity::INFO, "jobs", "over",
                  {{"job", entry.m_record.m_id},
                   {"phase", std::string(toText(entry.m_run.m_phase))},
-                  {"why", entry.m_run.m_why}});
+                  {"why", entry.m_run.m_explanation}});
     }
 }
 
@@ -254,11 +255,12 @@
         return;
     }
     JobEntry& entry = found->second;
-    const auto held = entry.m_run.findHeldRun(*key, absent.m_run);
+    const auto held = entry.m_run.findActiveRun(*key, absent.m_run);
     const WorkerPool::Host* const known = m_workers.findHost(host);
     // Before the worker's report it is not known whether another life of it runs the run.
     const bool isReported = known != nullptr && known->m_hasReport;
-    if (!isReported || !held.has_value() || held->m_worker != WorkerId{host, absent.m_life}) {
+    if (!isReported || !held.has_value() ||
+        held->m_worker != WorkerId{host, absent.m_incarnation}) {
         return;
     }
     logEvent(Severity::INFO, "jobs", "run-absent",
@@ -267,14 +269,14 @@
               {"host", host},
               {"reason", absent.m_reason}});
     if (absent.m_reason == "room") {
-        m_roomRefusals.note(host, m_loop.now());
+        m_capacityRefusals.recordRefusal(host, m_loop.now());
     }
     if (absent.m_reason == "ticket") {
-        m_advice.dropTicket({key->m_job, key->m_occurrence, key->m_step}, absent.m_life);
+        m_advice.dropTicket({key->m_job, key->m_occurrence, key->m_step}, absent.m_incarnation);
     }
     takeEffect(entry,
                applyNotRunning(entry.m_record, entry.m_run, *key, absent.m_run, m_loop.wallNow()));
-    takeEffect(entry, giveUpIfProved(entry.m_run, *key, m_loop.wallNow()));
+    takeEffect(entry, failIfProvenFaulty(entry.m_run, *key, m_loop.wallNow()));
     stepSoon();
 }
 
@@ -285,7 +287,7 @@
         return;
     }
     for (auto& [id, entry] : m_jobs) {
-        for (const HeldRun& run : listHeldRunsOn(host, id, entry.m_run)) {
+        for (const ActiveRun& run : listActiveRunsOn(host, id, entry.m_run)) {
             resendRun(entry, run, report->second.m_report);
         }
     }
@@ -296,19 +298,20 @@
  * that a later report does not show is sent again: the sidecar takes it for the same.
  */
 void JobController::resendLostOrders() {
-    if (m_loop.now() - m_ordersCheckedAt < m_settings.m_orderPatience) {
+    if (m_loop.now() - m_ordersCheckedAt < m_settings.m_orderReportTimeout) {
         return;
     }
     m_ordersCheckedAt = m_loop.now();
     for (auto& [id, entry] : m_jobs) {
-        for (const HeldRun& run : listHeldRuns(id, entry.m_run)) {
+        for (const ActiveRun& run : listActiveRuns(id, entry.m_run)) {
             const auto report = m_reports.find(run.m_worker.m_host);
             const WorkerPool::Host* const host = m_workers.findHost(run.m_worker.m_host);
             const Millis age = m_loop.wallNow() - run.m_placedAt;
-            const bool isTold = report != m_reports.end() && host != nullptr && host->m_hasReport &&
-                                report->second.m_report.m_life == run.m_worker.m_life &&
-                                m_loop.now() - report->second.m_at < m_settings.m_orderPatience;
-            if (isTold && (run.m_isStopping || age > 2 * m_settings.m_orderPatience)) {
+            const bool isTold =
+                    report != m_reports.end() && host != nullptr && host->m_hasReport &&
+                    report->second.m_report.m_incarnation == run.m_worker.m_incarnation &&
+                    m_loop.now() - report->second.m_at < m_settings.m_orderReportTimeout;
+            if (isTold && (run.m_isStopping || age > 2 * m_settings.m_orderReportTimeout)) {
                 resendRun(entry, run, report->second.m_report);
             }
         }
@@ -316,7 +319,7 @@
 }
 
 /** Whether a host's report lists a run, as one that runs or that has ended. */
-bool JobController::isShown(const HeldRun& run, const RunReport& report) {
+bool JobController::isShown(const ActiveRun& run, const RunReport& report) {
     const std::string name = run.m_task.toText();
     const auto isIt = [&](const auto& entry) {
         return entry.m_task == name && entry.m_run == run.m_run;
@@ -325,21 +328,22 @@
            std::any_of(report.m_ended.begin(), report.m_ended.end(), isIt);
 }
 
-void JobController::resendRun(JobEntry& entry, const HeldRun& run, const RunReport& report) {
+void JobController::resendRun(JobEntry& entry, const ActiveRun& run, const RunReport& report) {
     const std::string name = run.m_task.toText();
     if (!entry.m_hasInput || entry.hasPendingMessage(name, run.m_run)) {
         // Goes out when it is committed.
         return;
     }
     if (run.m_isStopping) {
-        m_workers.send(run.m_worker.m_host, RunStop{m_epoch, run.m_worker.m_life, name, run.m_run});
+        m_workers.send(run.m_worker.m_host,
+                       RunStop{m_epoch, run.m_worker.m_incarnation, name, run.m_run});
         return;
     }
     const StepSpec& step = entry.m_record.m_spec.m_steps[run.m_task.m_step];
-    const bool isOfKind = step.m_isFilling || step.m_targetTail > Millis(0);
+    const bool isOfKind = step.m_isFilling || step.m_latencyTarget > Millis(0);
     const bool isHere = isShown(run, report);
     if (!isHere && isHostEvacuated(run.m_worker.m_host)) {
-        withdraw(entry, run);
+        revoke(entry, run);
     } else if (isHere ? isOfKind : m_evacuations.isCertain()) {
         m_workers.send(run.m_worker.m_host, makeOrder(entry, run));
     }
--- a/libs/control/src/JobControllerStore.cpp
+++ b/libs/control/src/JobControllerStore.cpp
@@ -49,7 +49,7 @@
         for (const StoreItem& item : runs.m_items) {
             addRun(item);
         }
-        m_workers.setUrgentHosts(listHostsWithRuns());
+        m_workers.setPriorityHosts(listHostsWithRuns());
         for (const StoreItem& item : input.m_items) {
             if (!item.m_key.starts_with(JOB_PREFIX)) {
                 handleInput(item);
@@ -78,11 +78,11 @@
  */
 void JobController::blameHosts() {
     for (const auto& [id, entry] : m_jobs) {
-        if (entry.m_run.isOver()) {
+        if (entry.m_run.isFinished()) {
             continue;
         }
-        for (const std::string_view host : listStandingHosts(entry.m_run)) {
-            m_health.noteStalled(std::string(host), m_loop.now());
+        for (const std::string_view host : listStalledHosts(entry.m_run)) {
+            m_health.recordStalled(std::string(host), m_loop.now());
         }
     }
 }
@@ -98,7 +98,7 @@
         }
         m_watchedTo = changes.m_at;
         for (const StoreEvent& event : changes.m_events) {
-            if (!event.m_isGone) {
+            if (!event.m_isDeleted) {
                 handleInput(event.m_item);
             }
         }
@@ -130,22 +130,22 @@
     if (key.starts_with(JOB_PREFIX)) {
         addJob(item);
     } else if (key.starts_with(CANCEL_PREFIX)) {
-        askCancel(std::string(key.substr(CANCEL_PREFIX.size())));
+        requestCancel(std::string(key.substr(CANCEL_PREFIX.size())));
     } else if (key.starts_with(HOST_PREFIX)) {
         m_workers.addHost(std::string(key.substr(HOST_PREFIX.size())));
     } else if (key.starts_with(GATEWAY_PREFIX)) {
         m_workers.addHost(std::string(key.substr(GATEWAY_PREFIX.size())));
     } else if (key == WEIGHT_KEY) {
-        learnWeight(item.m_value);
+        updateWeight(item.m_value);
     } else if (key.starts_with(WORKER_PREFIX)) {
-        learnHold(std::string(key.substr(WORKER_PREFIX.size())), item.m_value);
+        updateAdminState(std::string(key.substr(WORKER_PREFIX.size())), item.m_value);
     } else if (key.starts_with(DOMAIN_PREFIX)) {
-        learnDomain(std::string(key.substr(DOMAIN_PREFIX.size())), item.m_value);
+        updateDomain(std::string(key.substr(DOMAIN_PREFIX.size())), item.m_value);
     }
     stepSoon();
 }
 
-void JobController::learnWeight(std::string_view text) {
+void JobController::updateWeight(std::string_view text) {
     constexpr std::uint32_t MOST = 100;
     std::uint32_t weight = 0;
     const auto result = std::from_chars(text.data(), text.data() + text.size(), weight);
@@ -156,10 +156,11 @@
     m_weight = weight;
 }
 
-void JobController::learnHold(const std::string& host, std::string_view word) {
-    for (const WorkerHold hold : {WorkerHold::RELEASE, WorkerHold::QUARANTINE, WorkerHold::DRAIN}) {
+void JobController::updateAdminState(const std::string& host, std::string_view word) {
+    for (const WorkerAdminState hold :
+         {WorkerAdminState::RELEASE, WorkerAdminState::QUARANTINE, WorkerAdminState::DRAIN}) {
         if (word == toText(hold)) {
-            m_holds[host] = hold;
+            m_adminStates[host] = hold;
             return;
         }
     }
@@ -181,7 +182,7 @@
 std::set<std::string, std::less<>> JobController::listHostsWithRuns() const {
     std::set<std::string, std::less<>> hosts;
     for (const auto& [id, entry] : m_jobs) {
-        for (const HeldRun& run : listHeldRuns(id, entry.m_run)) {
+        for (const ActiveRun& run : listActiveRuns(id, entry.m_run)) {
             hosts.insert(run.m_worker.m_host);
         }
     }
@@ -201,7 +202,7 @@
     JobEntry entry;
     entry.m_run = makeJobRun(*record);
     entry.m_record = std::move(*record);
-    entry.m_isCancelAsked = m_earlyCancels.erase(id) != 0;
+    entry.m_isCancelRequested = m_earlyCancels.erase(id) != 0;
     logEvent(
             Severity::INFO, "jobs", "known",
             {{"job", id},
@@ -211,7 +212,7 @@
              {"steps", std::to_string(entry.m_record.m_spec.m_steps.size())},
              {"objective_ms", std::to_string(getObjectiveSpan(entry.m_record).count())},
              {"age_ms", std::to_string((m_loop.wallNow() - entry.m_record.m_acceptedAt).count())}});
-    m_demand.note(entry.m_record);
+    m_demand.recordArrival(entry.m_record);
     m_jobs.emplace(id, std::move(entry));
 }
 
@@ -232,19 +233,19 @@
         entry.m_record.m_id = id;
         entry.m_hasInput = false;
     }
-    if (isNew && !run->isOver()) {
+    if (isNew && !run->isFinished()) {
         logEvent(Severity::ERROR, "jobs", "run-without-job", {{"job", id}});
     }
     entry.m_run = std::move(*run);
     entry.m_runRevision = item.m_revision;
     // Its input should have gone with the write that ended it.
-    entry.m_isDirty = entry.m_run.isOver() && entry.m_hasInput && entry.m_run.isIdle();
+    entry.m_isDirty = entry.m_run.isFinished() && entry.m_hasInput && entry.m_run.isIdle();
 }
 
-void JobController::askCancel(const std::string& id) {
+void JobController::requestCancel(const std::string& id) {
     const auto found = m_jobs.find(id);
     if (found != m_jobs.end()) {
-        found->second.m_isCancelAsked = true;
+        found->second.m_isCancelRequested = true;
     } else {
         // A list names withdrawals before the jobs that they belong to.
         m_earlyCancels.insert(id);
--- a/libs/control/src/JobControllerView.cpp
+++ b/libs/control/src/JobControllerView.cpp
@@ -7,59 +7,61 @@
 
 namespace pierbank {
 
-const std::vector<WorkerView>& JobController::viewWorkers() const {
-    if (m_areViewsStale) {
-        viewWorkersAnew();
+const std::vector<WorkerSnapshot>& JobController::getWorkerSnapshots() const {
+    if (m_areSnapshotsStale) {
+        rebuildWorkerSnapshots();
     }
-    for (WorkerView& view : m_views) {
-        updateView(view, *m_workers.findHost(view.m_id.m_host));
+    for (WorkerSnapshot& view : m_snapshots) {
+        updateSnapshot(view, *m_workers.findHost(view.m_id.m_host));
     }
-    return m_views;
+    return m_snapshots;
 }
 
 /** What the workers' notices say; a notice makes it stale. */
-void JobController::viewWorkersAnew() const {
-    m_views.clear();
-    m_areViewsStale = false;
+void JobController::rebuildWorkerSnapshots() const {
+    m_snapshots.clear();
+    m_areSnapshotsStale = false;
     for (const auto& [address, host] : m_workers.getHosts()) {
-        if (!host.m_notice.has_value() || host.m_notice->m_life.empty()) {
+        if (!host.m_notice.has_value() || host.m_notice->m_incarnation.empty()) {
             continue;
         }
         const WorkerNotice& notice = *host.m_notice;
-        WorkerView& view = m_views.emplace_back();
-        view.m_id = {address, notice.m_life};
+        WorkerSnapshot& view = m_snapshots.emplace_back();
+        view.m_id = {address, notice.m_incarnation};
         view.m_service = notice.m_service;
         view.m_failureDomain = notice.m_failureDomain;
         view.m_rack = notice.m_rack;
         view.m_labels.insert(notice.m_labels.begin(), notice.m_labels.end());
         view.m_capacity = {notice.m_cpuMillis, notice.m_memoryMb, notice.m_accelerators};
-        view.m_wholeCapacity = {notice.m_wholeCpuMillis, notice.m_wholeMemoryMb,
-                                notice.m_wholeAccelerators};
+        view.m_fullCapacity = {notice.m_fullCpuMillis, notice.m_fullMemoryMb,
+                               notice.m_fullAccelerators};
     }
 }
 
-void JobController::updateView(WorkerView& view, const WorkerPool::Host& host) const {
+void JobController::updateSnapshot(WorkerSnapshot& view, const WorkerPool::Host& host) const {
     const WorkerNotice& notice = *host.m_notice;
     const std::string& address = view.m_id.m_host;
-    const bool isEmptied = isLeaving(notice.m_life) || getHold(address) == WorkerHold::DRAIN;
+    const bool isEvacuatedByStatement =
+            isLeaving(notice.m_incarnation) || getAdminState(address) == WorkerAdminState::DRAIN;
     view.m_leavesIn.reset();
     if (notice.m_isDraining) {
         const Millis passed = m_loop.now() - host.m_noticeAt;
         view.m_leavesIn = std::max(Millis(notice.m_remainingMs) - passed, Millis(0));
-    } else if (isEmptied) {
+    } else if (isEvacuatedByStatement) {
         view.m_leavesIn = Millis(0);
     }
     view.m_isEvacuated = isEvacuated(view.m_failureDomain);
-    view.m_acceptsWork = !view.m_isEvacuated && host.isLinked() && host.m_hasReport &&
-                         !notice.m_isGone && !host.m_isWorkerSilent &&
-                         !view.m_leavesIn.has_value() && getHold(address) == WorkerHold::RELEASE &&
-                         !isAvoided(address) && !isStalled(address) &&
-                         !m_roomRefusals.isPaused(address, m_loop.now());
+    view.m_acceptsWork =
+            !view.m_isEvacuated && host.isLinked() && host.m_hasReport && !notice.m_hasExited &&
+            !host.m_isWorkerUnresponsive && !view.m_leavesIn.has_value() &&
+            getAdminState(address) == WorkerAdminState::RELEASE && !isAvoided(address) &&
+            !isStalled(address) && !m_capacityRefusals.isPaused(address, m_loop.now());
     const auto coldUntil = getColdUntil(address);
     const bool isCold = coldUntil.has_value() && m_loop.now() < *coldUntil;
-    view.m_slowness = m_settings.m_learnsSpeeds ? m_speeds.getSlowness(view.m_id.m_life) : 1.0;
+    view.m_slowness =
+            m_settings.m_learnsSpeeds ? m_speeds.getSlowness(view.m_id.m_incarnation) : 1.0;
     view.m_slowness *= m_settings.m_learnsSpeeds && isCold ? m_settings.m_coldSlowness : 1.0;
-    view.m_isSuspect = m_settings.m_judgesHosts && m_health.isSuspect(address, m_loop.now());
+    view.m_isSuspect = m_settings.m_scoresHosts && m_health.isSuspect(address, m_loop.now());
 }
 
 /** Empty for a worker that was not cold when it told of itself. */
@@ -78,7 +80,7 @@
     if (!coldUntil.has_value() || found == m_jobs.end()) {
         return false;
     }
-    const auto held = found->second.m_run.findHeldRun(task, run);
+    const auto held = found->second.m_run.findActiveRun(task, run);
     return held.has_value() && m_loop.now() - (m_loop.wallNow() - held->m_placedAt) < *coldUntil;
 }
 
@@ -113,8 +115,8 @@
     TaskPlannerSettings settings = m_settings.m_planner;
     settings.m_fragmentationWeight = m_weight;
     for (const std::string& service : m_demand.listServices()) {
-        if (m_settings.m_keepsRoom) {
-            settings.m_urgentReserve[service] = m_demand.getReserve(service, m_loop.wallNow());
+        if (m_settings.m_reservesHeadroom) {
+            settings.m_urgentHeadroom[service] = m_demand.getHeadroom(service, m_loop.wallNow());
         }
     }
     return TaskPlanner(settings);
@@ -144,14 +146,14 @@
  * their work for urgent work although others stand idle.
  */
 bool JobController::mayPreempt() const {
-    return !m_workers.isOpeningFirst() ||
-           m_loop.now() - m_loadedAt > m_settings.m_firstLinksPatience;
+    return !m_workers.isOpeningInitialLinks() ||
+           m_loop.now() - m_loadedAt > m_settings.m_initialLinkTimeout;
 }
 
-TaskPlan JobController::makePlan(const std::vector<PlannedJob>& jobs, bool withReasons) const {
+TaskPlan JobController::makePlan(const std::vector<PlannedJob>& jobs, bool withExplanations) const {
     const ProgressForecast forecast(m_progress, m_loop.now());
-    return makePlanner().plan({viewWorkers(), jobs, forecast, getGuarantees(m_configuration),
-                               m_loop.wallNow(), withReasons, mayPreempt()});
+    return makePlanner().plan({getWorkerSnapshots(), jobs, forecast, getGuarantees(m_configuration),
+                               m_loop.wallNow(), withExplanations, mayPreempt()});
 }
 
 TaskPlan JobController::tryPlan(const JobRecord& record) const {
@@ -163,19 +165,19 @@
 }
 
 /** For all steps that are not done, so that tickets are there before room is. */
-void JobController::wishForAdvice() {
+void JobController::requestTickets() {
     const bool isWished = std::any_of(m_jobs.begin(), m_jobs.end(), [](const auto& job) {
         return job.second.m_record.m_policy.m_advice.has_value();
     });
     if (!isWished) {
-        m_advice.wish({});
+        m_advice.setRequests({});
         return;
     }
-    std::vector<AdviceWish> wishes;
-    const std::vector<WorkerView>& workers = viewWorkers();
+    std::vector<TicketRequest> wishes;
+    const std::vector<WorkerSnapshot>& workers = getWorkerSnapshots();
     for (const auto& [id, entry] : m_jobs) {
         const QueuePolicy& policy = entry.m_record.m_policy;
-        if (!entry.m_hasInput || entry.m_run.isOver() || !policy.m_advice.has_value()) {
+        if (!entry.m_hasInput || entry.m_run.isFinished() || !policy.m_advice.has_value()) {
             continue;
         }
         for (const OccurrenceRun& occurrence : entry.m_run.m_occurrences) {
@@ -183,21 +185,21 @@
                 if (occurrence.m_steps[step].isDone()) {
                     continue;
                 }
-                AdviceWish wish{
+                TicketRequest wish{
                         {id, occurrence.m_number, step}, policy.m_priority, *policy.m_advice, {}};
                 const StepSpec& spec = entry.m_record.m_spec.m_steps[step];
-                for (const WorkerView& worker : workers) {
+                for (const WorkerSnapshot& worker : workers) {
                     const bool hasLabel = spec.m_requiredLabel.empty() ||
                                           worker.m_labels.count(spec.m_requiredLabel) != 0;
                     if (worker.m_acceptsWork && worker.m_service == policy.m_service && hasLabel) {
-                        wish.m_lives.push_back(worker.m_id.m_life);
+                        wish.m_incarnations.push_back(worker.m_id.m_incarnation);
                     }
                 }
                 wishes.push_back(std::move(wish));
             }
         }
     }
-    m_advice.wish(wishes);
+    m_advice.setRequests(wishes);
 }
 
 }  // namespace pierbank
--- a/libs/control/src/JobCore.cpp
+++ b/libs/control/src/JobCore.cpp
@@ -27,14 +27,14 @@
     m_intake.setRelay(*this);
     m_configuration.setSource(*this);
     m_configuration.onChange([this] { m_jobs.handleConfiguration(); });
-    m_configuration.onReach([this](bool isReached) { m_intake.noteReach(isReached); });
+    m_configuration.onReachabilityChange([this](bool isReached) { m_intake.noteReach(isReached); });
     connectLock();
     connectLeader();
 }
 
 void JobCore::connectLock() {
-    m_lock.onBid([this] { return m_bid.drawPause(); });
-    m_lock.onAskLed([this] { return m_leaderLink.isUsable(); });
+    m_lock.setElectionDelayProvider([this] { return m_bid.drawElectionDelay(); });
+    m_lock.setLeaderProbe([this] { return m_leaderLink.isUsable(); });
     m_lock.onUnanswered([this] {
         // While it is known to be lost its return is looked for anyhow.
         if (!m_configuration.isLost()) {
@@ -60,16 +60,16 @@
     });
     m_leaderLink.onNotice([this](const ConfigurationNotice& notice) {
         if (isUsable()) {
-            m_configuration.learnNotice(notice);
+            m_configuration.applyNotice(notice);
         }
     });
-    m_leaderLink.onSilence([this] { m_lock.lookWithin(m_bid.drawPause()); });
-    m_jobs.onAskFitness([this] { return m_bid.getFitness(); });
+    m_leaderLink.onLeaderTimeout([this] { m_lock.pollWithin(m_bid.drawElectionDelay()); });
+    m_jobs.setFitnessProvider([this] { return m_bid.getFitness(); });
     m_jobs.onRelayed(
             [this](const RelayedRequest& request, std::function<void(const RelayedAnswer&)> done) {
                 answerRelayed(request, std::move(done));
             });
-    m_jobs.onDisowned([this] { m_lock.abandon(); });
+    m_jobs.onLeadershipLost([this] { m_lock.abandon(); });
 }
 
 bool JobCore::start(Reason& reason) {
--- a/libs/control/src/JobIntake.cpp
+++ b/libs/control/src/JobIntake.cpp
@@ -6,7 +6,7 @@
 
 #include "JobIntakeCall.h"
 #include "pierbank/base/Log.h"
-#include "pierbank/control/CertainCommit.h"
+#include "pierbank/control/CommitResolver.h"
 #include "pierbank/control/StoreKeys.h"
 #include "pierbank/http/HttpStatus.h"
 #include "pierbank/job/JobCodec.h"
@@ -47,7 +47,7 @@
           m_configuration(configuration),
           m_codec(codec),
           m_settings(settings),
-          m_retryAdvice(settings.m_retryAdvice) {}
+          m_retryAfterPolicy(settings.m_retryAfterPolicy) {}
 
 JobIntake::~JobIntake() = default;
 
@@ -116,9 +116,9 @@
 
 void JobIntake::noteReach(bool isReached) {
     if (isReached) {
-        m_retryAdvice.noteRegained(m_loop.now());
+        m_retryAfterPolicy.recordRegained(m_loop.now());
     } else {
-        m_retryAdvice.noteLost(m_loop.now());
+        m_retryAfterPolicy.recordLost(m_loop.now());
     }
 }
 
@@ -164,7 +164,7 @@
         countPending(call);
     } else if (!isJobId(call->m_id)) {
         answer(call, HTTP_BAD_REQUEST, "", "the path does not end in a job id of 16 hex digits");
-    } else if (method == "POST" && m_configuration.isHeavy() && !call->m_isConfirmed) {
+    } else if (method == "POST" && m_configuration.isSlowToTransfer() && !call->m_isConfirmed) {
         confirmAndRoute(call);
     } else if (method == "POST") {
         submit(call);
@@ -201,10 +201,10 @@
     call->m_written = encodeJobRecord(record);
     transaction.m_puts = {{getJobKey(call->m_id), call->m_written, 0}};
     call->m_submittedAt = m_loop.now();
-    CommitPatience patience;
-    patience.m_limit = std::clamp(getTimeLeft(*call), Millis(1), m_settings.m_commitPatience);
-    CertainCommit::run(m_store, m_loop, std::move(transaction), patience, m_isAlive,
-                       [this, call](const StoreCommit& commit) { handleSubmitted(call, commit); });
+    CommitRetryPolicy patience;
+    patience.m_limit = std::clamp(getTimeLeft(*call), Millis(1), m_settings.m_commitTimeout);
+    CommitResolver::run(m_store, m_loop, std::move(transaction), patience, m_isAlive,
+                        [this, call](const StoreCommit& commit) { handleSubmitted(call, commit); });
     const Millis hedgeAfter = std::min(m_settings.m_hedgeAfter, getTimeLeft(*call) / 2);
     m_loop.callLater(hedgeAfter, [this, call, alive = std::weak_ptr(m_isAlive)] {
         const bool isOpen = !alive.expired() && !call->m_isAnswered;
@@ -329,7 +329,7 @@
         // Who comes back first needs no confirmed configuration: in an outage there is none.
         const bool isUrgent = !policy.m_queue.empty() && policy.m_priority == 0;
         const RefusedCaller caller{call->m_id, isUrgent, getTimeLeft(*call)};
-        answer.m_retryAfter = m_retryAdvice.advise(caller, m_loop.now());
+        answer.m_retryAfter = m_retryAfterPolicy.advise(caller, m_loop.now());
     }
     answer.m_reason = reason;
     const auto age = m_configuration.getAge();
--- a/libs/control/src/JobIntakeReads.cpp
+++ b/libs/control/src/JobIntakeReads.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "JobIntakeCall.h"
-#include "pierbank/control/CertainCommit.h"
+#include "pierbank/control/CommitResolver.h"
 #include "pierbank/control/JobIntake.h"
 #include "pierbank/control/StoreKeys.h"
 #include "pierbank/http/HttpStatus.h"
@@ -28,7 +28,7 @@
             answerUnavailable(call, "the job's state can't be read");
             return;
         }
-        answerRead(call, m_codec.writePhase(run->m_phase), run->m_why);
+        answerRead(call, m_codec.writePhase(run->m_phase), run->m_explanation);
     });
 }
 
@@ -78,7 +78,7 @@
                          answerUnavailable(call, "the job's state can't be read");
                          return;
                      }
-                     if (run.has_value() && run->isOver()) {
+                     if (run.has_value() && run->isFinished()) {
                          answer(call, HTTP_OK, "", "the job was over already");
                          return;
                      }
@@ -109,21 +109,21 @@
     StoreTransaction transaction;
     transaction.m_conditions = {{record.m_key, record.m_revision}};
     transaction.m_puts = {{getCancelKey(call->m_id), call->m_organisation, 0}};
-    CommitPatience patience;
+    CommitRetryPolicy patience;
     patience.m_limit = std::max(getTimeLeft(*call), Millis(1));
-    CertainCommit::run(m_store, m_loop, std::move(transaction), patience, m_isAlive,
-                       [this, call](const StoreCommit& commit) {
-                           if (commit.m_status == StoreStatus::OK) {
-                               m_onWritten(getCancelKey(call->m_id), "");
-                               answer(call, HTTP_OK, "", "withdrawn");
-                           } else if (commit.m_status == StoreStatus::CONFLICT) {
-                               answer(call, HTTP_OK, "", "the job has just ended");
-                           } else if (commit.m_status == StoreStatus::UNKNOWN) {
-                               relayOr(call, HTTP_TIMEOUT, "the store did not say");
-                           } else {
-                               answerUnavailable(call, "the store refused: " + commit.m_reason);
-                           }
-                       });
+    CommitResolver::run(m_store, m_loop, std::move(transaction), patience, m_isAlive,
+                        [this, call](const StoreCommit& commit) {
+                            if (commit.m_status == StoreStatus::OK) {
+                                m_onWritten(getCancelKey(call->m_id), "");
+                                answer(call, HTTP_OK, "", "withdrawn");
+                            } else if (commit.m_status == StoreStatus::CONFLICT) {
+                                answer(call, HTTP_OK, "", "the job has just ended");
+                            } else if (commit.m_status == StoreStatus::UNKNOWN) {
+                                relayOr(call, HTTP_TIMEOUT, "the store did not say");
+                            } else {
+                                answerUnavailable(call, "the store refused: " + commit.m_reason);
+                            }
+                        });
 }
 
 /**
@@ -210,7 +210,7 @@
                          }
                          for (const StoreItem& item : runs.m_items) {
                              const auto run = decodeJobRun(item.m_value);
-                             if (run.has_value() && (run->m_hasBegun || run->isOver())) {
+                             if (run.has_value() && (run->m_hasStarted || run->isFinished())) {
                                  queues.erase(item.m_key.substr(RUN_PREFIX.size()));
                              }
                          }
--- a/libs/control/src/LeaderLink.cpp
+++ b/libs/control/src/LeaderLink.cpp
@@ -17,38 +17,38 @@
 
 }  // namespace
 
-LeaderLink::LeaderLink(EventLoop& loop, LeadershipBid& bid)
+LeaderLink::LeaderLink(EventLoop& loop, LeadershipCandidacy& bid)
         : m_loop(loop),
           m_port(
                   loop, "gateway", [this](const LeaderHello& hello, bool) { handleLeader(hello); },
                   [this](const Frame& frame) { handleFrame(frame); }),
           m_bid(bid),
-          m_askInterval(ASK_INTERVAL) {
+          m_requestInterval(ASK_INTERVAL) {
     keepAlive();
 }
 
 /** A new leader knows neither how many gateways there are nor how well they could lead. */
 void LeaderLink::handleLeader(const LeaderHello& hello) {
-    m_askInterval = ASK_INTERVAL;
-    ask([this](const auto& notice) { learnNotice(notice); });
+    m_requestInterval = ASK_INTERVAL;
+    ask([this](const auto& notice) { applyNotice(notice); });
     m_onLeader(hello.m_epoch);
 }
 
 void LeaderLink::keepAlive() {
     noteUse();
     if (m_port.isLinked()) {
-        ask([this](const auto& notice) { learnNotice(notice); });
+        ask([this](const auto& notice) { applyNotice(notice); });
     }
-    const Millis dueAt = m_loop.now() + m_askInterval;
-    m_loop.callLater(m_askInterval, [this, dueAt, alive = std::weak_ptr(m_isAlive)] {
+    const Millis dueAt = m_loop.now() + m_requestInterval;
+    m_loop.callLater(m_requestInterval, [this, dueAt, alive = std::weak_ptr(m_isAlive)] {
         if (!alive.expired()) {
-            m_bid.noteLag(m_loop.now() - dueAt);
+            m_bid.recordLag(m_loop.now() - dueAt);
             keepAlive();
         }
     });
 }
 
-void LeaderLink::learnNotice(const std::optional<ConfigurationNotice>& notice) {
+void LeaderLink::applyNotice(const std::optional<ConfigurationNotice>& notice) {
     if (notice.has_value()) {
         m_onNotice(*notice);
     }
@@ -57,7 +57,7 @@
 void LeaderLink::noteUse() {
     const bool isNow = isUsable();
     if (std::exchange(m_wasUsable, isNow) && !isNow) {
-        m_onSilence();
+        m_onLeaderTimeout();
     }
 }
 
@@ -71,7 +71,7 @@
     });
 }
 
-void LeaderLink::askPending(PendingCallback done) {
+void LeaderLink::queryPending(PendingCallback done) {
     sendQuestion(true, [done = std::move(done)](const auto& reply, Millis) {
         if (!reply.has_value() || !reply->m_knowsPending) {
             done(std::nullopt);
@@ -85,10 +85,10 @@
     });
 }
 
-void LeaderLink::sendQuestion(bool asksPending, ReplyCallback done) {
+void LeaderLink::sendQuestion(bool wantsPending, ReplyCallback done) {
     const std::uint64_t number = ++m_lastQuestion;
     m_questions[number] = {m_loop.now(), std::move(done)};
-    const bool isSent = m_port.send(GatewayAsk{number, m_bid.getFitness(), asksPending});
+    const bool isSent = m_port.send(GatewayQuery{number, m_bid.getFitness(), wantsPending});
     m_loop.callLater(isSent ? ANSWER_TIMEOUT : Millis(0),
                      [this, number, alive = std::weak_ptr(m_isAlive)] {
                          if (!alive.expired()) {
@@ -108,9 +108,9 @@
 }
 
 void LeaderLink::handleReply(const GatewayReply& reply) {
-    m_bid.noteFleet(reply.m_gateways, reply.m_bestFitness);
-    if (reply.m_askAfterMs != 0) {
-        m_askInterval = Millis(reply.m_askAfterMs);
+    m_bid.recordFleet(reply.m_gateways, reply.m_bestFitness);
+    if (reply.m_nextRequestMs != 0) {
+        m_requestInterval = Millis(reply.m_nextRequestMs);
     }
     if (m_questions.count(reply.m_number) != 0) {
         finishQuestion(reply.m_number, reply);
@@ -131,7 +131,7 @@
 }
 
 bool LeaderLink::isUsable() const {
-    return m_port.isLinked() && m_port.getSilence() <= m_askInterval + ANSWER_PATIENCE;
+    return m_port.isLinked() && m_port.getIdleTime() <= m_requestInterval + ANSWER_PATIENCE;
 }
 
 void LeaderLink::relay(RelayedRequest request, Millis patience, AnswerCallback done) {
--- a/libs/control/src/LeaderLock.cpp
+++ b/libs/control/src/LeaderLock.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "pierbank/base/Log.h"
-#include "pierbank/control/CertainCommit.h"
+#include "pierbank/control/CommitResolver.h"
 #include "pierbank/control/StoreKeys.h"
 
 namespace pierbank {
@@ -35,8 +35,8 @@
     look();
 }
 
-void LeaderLock::lookLater(Millis pause) {
-    m_loop.callLater(pause, [this, look = std::weak_ptr(m_look)] {
+void LeaderLock::pollLater(Millis pause) {
+    m_loop.callLater(pause, [this, look = std::weak_ptr(m_poll)] {
         if (!look.expired()) {
             this->look();
         }
@@ -44,12 +44,12 @@
 }
 
 Millis LeaderLock::getRetryPause() const {
-    return m_isLed() ? LED_RETRY_PAUSE : RETRY_PAUSE;
+    return m_hasLeader() ? LED_RETRY_PAUSE : RETRY_PAUSE;
 }
 
-void LeaderLock::lookWithin(Millis pause) {
+void LeaderLock::pollWithin(Millis pause) {
     if (!m_isReleased && !isHeld()) {
-        lookLater(pause);
+        pollLater(pause);
     }
 }
 
@@ -58,35 +58,35 @@
     if (m_isReleased || isHeld() || isBidding) {
         return;
     }
-    m_look = std::make_shared<bool>(true);
-    m_store.read(LEADER_KEY, [this, look = std::weak_ptr(m_look)](const StoreRead& read) {
+    m_poll = std::make_shared<bool>(true);
+    m_store.read(LEADER_KEY, [this, look = std::weak_ptr(m_poll)](const StoreRead& read) {
         if (!look.expired()) {
-            handleLook(read);
+            handlePoll(read);
         }
     });
 }
 
-void LeaderLock::handleLook(const StoreRead& read) {
+void LeaderLock::handlePoll(const StoreRead& read) {
     if (read.m_status == StoreStatus::OK) {
-        learnLeader(read.m_item.m_value);
+        updateLeader(read.m_item.m_value);
         follow(std::max(read.m_at, read.m_item.m_revision));
     } else if (read.m_status == StoreStatus::NOT_FOUND) {
         bid();
     } else {
         m_onUnanswered();
-        lookLater(getRetryPause());
+        pollLater(getRetryPause());
     }
 }
 
-void LeaderLock::learnLeader(std::string_view value) {
+void LeaderLock::updateLeader(std::string_view value) {
     m_leader = Address::parse(std::string(value.substr(0, value.find('#'))));
 }
 
 /** Watches the key from a revision on, so that nothing between two watches is missed. */
 void LeaderLock::follow(StoreRevision after) {
-    const Millis wait = m_isLed() ? m_settings.m_ledWatchWait : m_settings.m_watchWait;
+    const Millis wait = m_hasLeader() ? m_settings.m_ledWatchWait : m_settings.m_watchWait;
     m_store.watch(LEADER_KEY, after, wait,
-                  [this, look = std::weak_ptr(m_look)](const StoreChanges& changes) {
+                  [this, look = std::weak_ptr(m_poll)](const StoreChanges& changes) {
                       if (!look.expired()) {
                           handleChanges(changes);
                       }
@@ -99,19 +99,19 @@
  */
 void LeaderLock::handleChanges(const StoreChanges& changes) {
     if (changes.m_status != StoreStatus::OK) {
-        lookLater(getRetryPause());
+        pollLater(getRetryPause());
         return;
     }
-    if (changes.m_events.empty() && !m_isLed()) {
+    if (changes.m_events.empty() && !m_hasLeader()) {
         look();
         return;
     }
     for (const StoreEvent& event : changes.m_events) {
-        if (event.m_isGone) {
+        if (event.m_isDeleted) {
             bid();
         } else {
             cancelBid();
-            learnLeader(event.m_item.m_value);
+            updateLeader(event.m_item.m_value);
         }
     }
     follow(changes.m_at);
@@ -121,7 +121,7 @@
     if (m_bidTimer != TimerId::NONE || m_isAcquiring || isHeld() || m_isReleased) {
         return;
     }
-    m_bidTimer = m_loop.callLater(m_getBidPause(), guarded([this] {
+    m_bidTimer = m_loop.callLater(m_getElectionDelay(), guarded([this] {
                                       m_bidTimer = TimerId::NONE;
                                       acquire();
                                   }));
@@ -144,7 +144,7 @@
         }
         if (reply.m_status != StoreStatus::OK || m_isReleased) {
             m_isAcquiring = false;
-            lookLater(RETRY_PAUSE);
+            pollLater(RETRY_PAUSE);
             return;
         }
         take(reply.m_lease, sentAt);
@@ -158,18 +158,18 @@
                            m_settings.m_operators.toText() + "#" + m_settings.m_node + "#" +
                                    std::to_string(lease),
                            lease}};
-    CommitPatience patience;
+    CommitRetryPolicy patience;
     patience.m_limit = m_settings.m_timeToLive;
-    CertainCommit::run(
+    CommitResolver::run(
             m_store, m_loop, std::move(transaction), patience, m_isAlive,
             [this, lease, sentAt](const StoreCommit& commit) {
                 m_isAcquiring = false;
                 if (commit.m_status != StoreStatus::OK || m_isReleased) {
                     m_store.endLease(lease);
-                    lookLater(RETRY_PAUSE);
+                    pollLater(RETRY_PAUSE);
                     return;
                 }
-                m_look.reset();
+                m_poll.reset();
                 cancelBid();
                 m_epoch = commit.m_revision;
                 m_lease = lease;
--- a/libs/control/src/LeaderPort.cpp
+++ b/libs/control/src/LeaderPort.cpp
@@ -39,7 +39,7 @@
     if (const auto* const hello = std::get_if<LeaderHello>(&frame)) {
         adopt(link, *hello);
     } else if (link == m_leader) {
-        m_heardAt = m_loop.now();
+        m_lastReceivedAt = m_loop.now();
         m_onFrame(frame);
     }
 }
@@ -68,7 +68,7 @@
         m_leader->close();
     }
     m_leader = link;
-    m_heardAt = m_loop.now();
+    m_lastReceivedAt = m_loop.now();
     const bool isNewEpoch = hello.m_epoch != m_epoch;
     m_epoch = hello.m_epoch;
     logEvent(Severity::INFO, m_component, "leader",
--- a/libs/control/src/LeadershipBid.cpp
+++ b/libs/control/src/LeadershipCandidacy.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "pierbank/control/LeadershipBid.h"
+#include "pierbank/control/LeadershipCandidacy.h"
 
 #include <algorithm>
 #include <cmath>
@@ -18,43 +18,43 @@
 
 }  // namespace
 
-std::uint32_t LeadershipBid::getFitness() const {
+std::uint32_t LeadershipCandidacy::getFitness() const {
     const double link = std::min(1.0, m_settings.m_linkMbps / WIDE_LINK_MBPS);
     const double lag = HALVING_LAG_MS / (HALVING_LAG_MS + m_lag);
     return static_cast<std::uint32_t>(
             std::lround(WHOLE_CORE * m_settings.m_processorShare * link * lag));
 }
 
-void LeadershipBid::noteLag(Millis lag) {
+void LeadershipCandidacy::recordLag(Millis lag) {
     m_lag += NEWEST * (static_cast<double>(std::max(lag, Millis(0)).count()) - m_lag);
 }
 
-void LeadershipBid::noteFleet(std::uint32_t gateways, std::uint32_t bestFitness) {
+void LeadershipCandidacy::recordFleet(std::uint32_t gateways, std::uint32_t bestFitness) {
     m_gateways = gateways;
     m_bestFitness = bestFitness;
 }
 
-Millis LeadershipBid::drawPause() {
+Millis LeadershipCandidacy::drawElectionDelay() {
     const Millis spread = getSpread();
     const auto part = m_random.below(static_cast<std::uint64_t>(spread.count()) + 1);
-    return Millis(static_cast<std::int64_t>(part)) + getHandicap(spread);
+    return Millis(static_cast<std::int64_t>(part)) + getFitnessDelay(spread);
 }
 
-Millis LeadershipBid::getSpread() const {
+Millis LeadershipCandidacy::getSpread() const {
     if (m_gateways == 0) {
         return m_settings.m_unknownSpread;
     }
-    return std::min(m_settings.m_spreadEach * m_gateways, m_settings.m_mostSpread);
+    return std::min(m_settings.m_spreadPerGateway * m_gateways, m_settings.m_maxSpread);
 }
 
-Millis LeadershipBid::getHandicap(Millis spread) const {
+Millis LeadershipCandidacy::getFitnessDelay(Millis spread) const {
     const double own = getFitness();
     const double best = m_bestFitness == 0 ? WHOLE_CORE : m_bestFitness;
     if (own >= best) {
         return Millis(0);
     }
     const double missing = 1.0 - own / best;
-    const Millis most = spread + m_settings.m_mostHandicap;
+    const Millis most = spread + m_settings.m_maxFitnessDelay;
     return Millis(std::llround(missing * static_cast<double>(most.count())));
 }
 
--- a/libs/control/src/OrderBook.cpp
+++ b/libs/control/src/PendingOrders.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "pierbank/control/OrderBook.h"
+#include "pierbank/control/PendingOrders.h"
 
 #include <vector>
 
@@ -15,7 +15,7 @@
             return "ok";
         case WorkerStatus::REFUSED:
             return "refused";
-        case WorkerStatus::OTHER_LIFE:
+        case WorkerStatus::OTHER_INCARNATION:
             return "other-life";
         case WorkerStatus::UNKNOWN:
             break;
@@ -25,12 +25,12 @@
 
 }  // namespace
 
-void OrderBook::clear() {
+void PendingOrders::clear() {
     m_term = std::make_shared<bool>(true);
     m_orders.clear();
 }
 
-void OrderBook::start(const TaskKey& task, const RunOrder& order) {
+void PendingOrders::start(const TaskKey& task, const RunOrder& order) {
     const auto [place, isNew] = m_orders.try_emplace({task, order.m_run});
     if (isNew) {
         place->second.m_start = order;
@@ -39,7 +39,7 @@
     }
 }
 
-void OrderBook::pump() {
+void PendingOrders::pump() {
     const auto until = m_context.getStartLease();
     if (!until.has_value()) {
         return;
@@ -53,14 +53,14 @@
     for (const RunKey& key : ready) {
         Order& order = m_orders[key];
         if (m_loop.now() - order.m_cameAt > m_settings.m_orderLife) {
-            bar(key.first, key.second, "the order is too old");
+            preventStart(key.first, key.second, "the order is too old");
         } else {
             sendStart(key, order, *until);
         }
     }
 }
 
-void OrderBook::sendStart(const RunKey& key, Order& order, Millis until) {
+void PendingOrders::sendStart(const RunKey& key, Order& order, Millis until) {
     order.m_isSent = true;
     order.m_fence = getFence();
     ++order.m_tries;
@@ -71,7 +71,7 @@
     start.m_checkpoint = order.m_start.m_checkpoint;
     start.m_ticket = order.m_start.m_ticket;
     start.m_until = until;
-    m_context.noteSent(key.first, key.second);
+    m_context.recordSent(key.first, key.second);
     m_worker.start(m_context.getCall(), start,
                    [this, key, term = std::weak_ptr(m_term)](const RunReply& reply) {
                        if (!term.expired()) {
@@ -80,7 +80,7 @@
                    });
 }
 
-void OrderBook::handleStarted(const RunKey& key, const RunReply& reply) {
+void PendingOrders::handleStarted(const RunKey& key, const RunReply& reply) {
     const auto found = m_orders.find(key);
     if (found == m_orders.end() || found->second.m_isBarring) {
         return;
@@ -96,12 +96,12 @@
               {"status", std::string(toText(reply.m_status))},
               {"reason", reply.m_reason}});
     if (reply.m_status == WorkerStatus::OK) {
-        m_context.noteBegun(key.first, key.second);
+        m_context.recordStarted(key.first, key.second);
         m_orders.erase(found);
         return;
     }
     if (reply.m_status == WorkerStatus::REFUSED && order.m_tries == 1) {
-        m_context.noteRefused(key.first, key.second);
+        m_context.recordRefused(key.first, key.second);
     }
     const bool isOvertaken = reply.m_reason == "fence" && order.m_fence < getFence();
     const bool mayRetry =
@@ -111,11 +111,11 @@
         pump();
         return;
     }
-    bar(key.first, key.second,
-        reply.m_reason.empty() ? "the worker did not answer" : reply.m_reason);
+    preventStart(key.first, key.second,
+                 reply.m_reason.empty() ? "the worker did not answer" : reply.m_reason);
 }
 
-void OrderBook::bar(const TaskKey& task, std::uint32_t run, std::string_view reason) {
+void PendingOrders::preventStart(const TaskKey& task, std::uint32_t run, std::string_view reason) {
     Order& order = m_orders[{task, run}];
     if (order.m_isBarring) {
         return;
@@ -125,7 +125,7 @@
     sendBar({task, run});
 }
 
-void OrderBook::sendBar(const RunKey& key) {
+void PendingOrders::sendBar(const RunKey& key) {
     m_orders[key].m_fence = getFence();
     m_worker.stop(m_context.getCall(), key.first, key.second,
                   [this, key, term = std::weak_ptr(m_term)](const RunReply& reply) {
@@ -135,13 +135,13 @@
                   });
 }
 
-void OrderBook::handleBarred(const RunKey& key, const RunReply& reply) {
+void PendingOrders::handleBarred(const RunKey& key, const RunReply& reply) {
     const auto found = m_orders.find(key);
     if (found == m_orders.end()) {
         return;
     }
     if (reply.m_status == WorkerStatus::OK) {
-        found->second.m_checkLook = m_context.lookAgain();
+        found->second.m_checkPoll = m_context.pollAgain();
         return;
     }
     logEvent(Severity::WARNING, "agent", "stop-failed",
@@ -168,7 +168,7 @@
  * A run that is listed has begun, whatever became of the answer: another try could only begin it
  * once more, in the worker's next process.
  */
-void OrderBook::forgetBegun() {
+void PendingOrders::forgetBegun() {
     std::erase_if(m_orders, [this](const auto& entry) {
         const auto& [key, order] = entry;
         return !order.m_isBarring && order.m_isSent &&
@@ -177,11 +177,11 @@
     });
 }
 
-void OrderBook::handleLook(std::uint64_t number) {
+void PendingOrders::handlePoll(std::uint64_t number) {
     forgetBegun();
     std::vector<std::pair<RunKey, std::string>> done;
     for (const auto& [key, order] : m_orders) {
-        const bool isChecked = order.m_checkLook != 0 && number >= order.m_checkLook;
+        const bool isChecked = order.m_checkPoll != 0 && number >= order.m_checkPoll;
         if (isChecked && !m_context.isListed(key.first, key.second)) {
             done.emplace_back(key, order.m_reason);
         }
--- a/libs/control/src/ProgressTracker.cpp
+++ b/libs/control/src/ProgressTracker.cpp
@@ -56,9 +56,9 @@
            static_cast<double>((now - m_begunAt).count());
 }
 
-std::vector<ProgressRate> ProgressTracker::note(const std::string& host,
-                                                const std::vector<ProgressReport>& runs,
-                                                Millis now) {
+std::vector<ProgressRate> ProgressTracker::recordReport(const std::string& host,
+                                                        const std::vector<ProgressReport>& runs,
+                                                        Millis now) {
     std::vector<ProgressRate> rates;
     Host next;
     next.reserve(runs.size());
--- a/libs/control/src/Registration.cpp
+++ b/libs/control/src/Registration.cpp
@@ -15,8 +15,8 @@
 
 }  // namespace
 
-Registration::Registration(RecordStore& store, EventLoop& loop, std::function<bool()> isLed)
-        : m_store(store), m_loop(loop), m_isLed(std::move(isLed)) {}
+Registration::Registration(RecordStore& store, EventLoop& loop, std::function<bool()> hasLeader)
+        : m_store(store), m_loop(loop), m_hasLeader(std::move(hasLeader)) {}
 
 void Registration::start(std::string key) {
     m_key = std::move(key);
@@ -25,7 +25,7 @@
 }
 
 void Registration::check() {
-    if (!m_isWriting && !m_isLed()) {
+    if (!m_isWriting && !m_hasLeader()) {
         write();
     }
     checkLater();
--- a/libs/control/src/RetryAdvice.cpp
+++ b/libs/control/src/RetryAfterPolicy.cpp
@@ -1,18 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "pierbank/control/RetryAdvice.h"
+#include "pierbank/control/RetryAfterPolicy.h"
 
 #include <algorithm>
 #include <functional>
 
 namespace pierbank {
 
-void RetryAdvice::noteLost(Millis now) {
+void RetryAfterPolicy::recordLost(Millis now) {
     if (!m_lostAt.has_value()) {
         m_lostAt = now;
     }
 }
 
-void RetryAdvice::noteRegained(Millis now) {
+void RetryAfterPolicy::recordRegained(Millis now) {
     if (!m_lostAt.has_value()) {
         return;
     }
@@ -25,7 +25,7 @@
 }
 
 /** Past its usual length an outage is taken to last half its age more. */
-Millis RetryAdvice::expectRemaining(Millis now) const {
+Millis RetryAfterPolicy::expectRemaining(Millis now) const {
     if (!m_lostAt.has_value()) {
         return Millis(0);
     }
@@ -34,7 +34,7 @@
     return usual > Millis(0) ? usual : age / 2;
 }
 
-Millis RetryAdvice::advise(const RefusedCaller& caller, Millis now) const {
+Millis RetryAfterPolicy::advise(const RefusedCaller& caller, Millis now) const {
     Millis base = std::clamp(expectRemaining(now), m_settings.m_least, m_settings.m_most);
     if (caller.m_timeLeft > Millis(0)) {
         // Who is told a time beyond its own gives up, though the store may be back before.
--- a/libs/control/src/Pacer.cpp
+++ b/libs/control/src/TaskThrottle.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "pierbank/control/Pacer.h"
+#include "pierbank/control/TaskThrottle.h"
 
 #include <algorithm>
 
@@ -11,32 +11,32 @@
 
 }  // namespace
 
-void Pacer::learn(const RunKey& run, const RunKind& kind) {
+void TaskThrottle::learn(const RunKey& run, const RunKind& kind) {
     if (kind.matters()) {
         m_kinds[run] = kind;
     }
 }
 
-void Pacer::clear() {
+void TaskThrottle::clear() {
     m_kinds.clear();
     m_paces.clear();
     m_percent = WHOLE;
     m_isNeeded = false;
 }
 
-double Pacer::getPressure(const std::vector<ListedRun>& running) const {
+double TaskThrottle::getPressure(const std::vector<ListedRun>& running) const {
     double pressure = 0;
     for (const ListedRun& run : running) {
         const auto kind = m_kinds.find({run.m_task, run.m_run});
-        if (kind != m_kinds.end() && kind->second.m_targetTail > Millis(0)) {
-            const auto target = static_cast<double>(kind->second.m_targetTail.count());
+        if (kind != m_kinds.end() && kind->second.m_latencyTarget > Millis(0)) {
+            const auto target = static_cast<double>(kind->second.m_latencyTarget.count());
             pressure = std::max(pressure, run.m_figure / target);
         }
     }
     return pressure;
 }
 
-void Pacer::adjust(double pressure, Millis now) {
+void TaskThrottle::adjust(double pressure, Millis now) {
     const bool isHarm = pressure > 1.0;
     if (!isHarm && now - m_changedAt < m_settings.m_settle) {
         return;
@@ -52,7 +52,7 @@
     }
 }
 
-std::vector<PaceCall> Pacer::look(const std::vector<ListedRun>& running, Millis now) {
+std::vector<ThrottleCall> TaskThrottle::look(const std::vector<ListedRun>& running, Millis now) {
     bool hasServing = false;
     std::vector<RunKey> filling;
     for (const ListedRun& run : running) {
@@ -61,7 +61,7 @@
         if (kind == m_kinds.end()) {
             continue;
         }
-        hasServing = hasServing || kind->second.m_targetTail > Millis(0);
+        hasServing = hasServing || kind->second.m_latencyTarget > Millis(0);
         if (kind->second.m_isFilling) {
             filling.push_back(key);
         }
@@ -72,7 +72,7 @@
     } else {
         m_percent = WHOLE;
     }
-    std::vector<PaceCall> calls;
+    std::vector<ThrottleCall> calls;
     for (const RunKey& key : filling) {
         const auto set = m_paces.try_emplace(key, WHOLE).first;
         if (set->second != m_percent) {
--- a/libs/control/src/AdviceBook.cpp
+++ b/libs/control/src/TicketCache.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "pierbank/control/AdviceBook.h"
+#include "pierbank/control/TicketCache.h"
 
 #include <algorithm>
 #include <set>
@@ -14,15 +14,15 @@
     return m_job + "." + std::to_string(m_occurrence) + "." + std::to_string(m_step);
 }
 
-void AdviceBook::clear() {
+void TicketCache::clear() {
     m_term = std::make_shared<bool>(true);
     m_steps.clear();
     m_isAsking = false;
 }
 
-void AdviceBook::wish(const std::vector<AdviceWish>& wishes) {
+void TicketCache::setRequests(const std::vector<TicketRequest>& wishes) {
     std::set<StepKey> wanted;
-    for (const AdviceWish& wish : wishes) {
+    for (const TicketRequest& wish : wishes) {
         wanted.insert(wish.m_step);
         m_steps[wish.m_step].m_wish = wish;
     }
@@ -30,43 +30,43 @@
     pump();
 }
 
-AdvisedWorkers AdviceBook::getAdvised(const std::string& job) const {
+AdvisedWorkers TicketCache::getAdvised(const std::string& job) const {
     AdvisedWorkers advised;
     for (auto it = m_steps.lower_bound({job, 0, 0}); it != m_steps.end(); ++it) {
         const auto& [key, step] = *it;
         if (key.m_job != job) {
             break;
         }
-        for (const auto& [life, verdict] : step.m_verdicts) {
-            if (!getTicket(key, life).empty()) {
-                advised[{key.m_occurrence, key.m_step}].insert(life);
+        for (const auto& [incarnation, verdict] : step.m_verdicts) {
+            if (!getTicket(key, incarnation).empty()) {
+                advised[{key.m_occurrence, key.m_step}].insert(incarnation);
             }
         }
     }
     return advised;
 }
 
-std::string AdviceBook::getTicket(const StepKey& step, const std::string& life) const {
+std::string TicketCache::getTicket(const StepKey& step, const std::string& incarnation) const {
     const auto found = m_steps.find(step);
     if (found == m_steps.end()) {
         return {};
     }
-    const auto verdict = found->second.m_verdicts.find(life);
+    const auto verdict = found->second.m_verdicts.find(incarnation);
     const bool isGood = verdict != found->second.m_verdicts.end() &&
                         verdict->second.m_until > m_loop.now() + m_settings.m_margin;
     return isGood ? verdict->second.m_ticket : std::string();
 }
 
-void AdviceBook::dropTicket(const StepKey& step, const std::string& life) {
+void TicketCache::dropTicket(const StepKey& step, const std::string& incarnation) {
     const auto found = m_steps.find(step);
     if (found != m_steps.end()) {
-        found->second.m_verdicts.erase(life);
+        found->second.m_verdicts.erase(incarnation);
     }
 }
 
 /** Nothing is known of the worker, or its ticket runs out. */
-bool AdviceBook::isOpen(const Step& step, const std::string& life) const {
-    const auto verdict = step.m_verdicts.find(life);
+bool TicketCache::isOpen(const Step& step, const std::string& incarnation) const {
+    const auto verdict = step.m_verdicts.find(incarnation);
     if (verdict == step.m_verdicts.end()) {
         return true;
     }
@@ -75,17 +75,17 @@
            verdict->second.m_until <= m_loop.now() + answerTime;
 }
 
-std::vector<std::string> AdviceBook::listOpen(const Step& step) const {
+std::vector<std::string> TicketCache::listOpen(const Step& step) const {
     std::vector<std::string> open;
-    for (const std::string& life : step.m_wish.m_lives) {
-        if (open.size() < m_settings.m_batch && isOpen(step, life)) {
-            open.push_back(life);
+    for (const std::string& incarnation : step.m_wish.m_incarnations) {
+        if (open.size() < m_settings.m_batch && isOpen(step, incarnation)) {
+            open.push_back(incarnation);
         }
     }
     return open;
 }
 
-void AdviceBook::pump() {
+void TicketCache::pump() {
     if (m_isAsking) {
         return;
     }
@@ -94,7 +94,7 @@
         return std::make_tuple(step.m_wish.m_priority, step.m_questions, std::cref(entry.first));
     };
     const StepKey* next = nullptr;
-    std::vector<std::string> lives;
+    std::vector<std::string> incarnations;
     for (auto& entry : m_steps) {
         if (next != nullptr && !(rankOf(entry) < rankOf(*m_steps.find(*next)))) {
             continue;
@@ -102,37 +102,37 @@
         std::vector<std::string> open = listOpen(entry.second);
         if (!open.empty()) {
             next = &entry.first;
-            lives = std::move(open);
+            incarnations = std::move(open);
         }
     }
     if (next != nullptr) {
-        ask(*next, m_steps.at(*next), std::move(lives));
+        ask(*next, m_steps.at(*next), std::move(incarnations));
     }
 }
 
-void AdviceBook::ask(const StepKey& key, Step& step, std::vector<std::string> lives) {
+void TicketCache::ask(const StepKey& key, Step& step, std::vector<std::string> incarnations) {
     m_isAsking = true;
     ++step.m_questions;
     const AdvicePolicy& policy = step.m_wish.m_policy;
     const Millis patience = policy.m_decide +
-                            policy.m_each * static_cast<std::int64_t>(lives.size()) +
+                            policy.m_each * static_cast<std::int64_t>(incarnations.size()) +
                             m_settings.m_patience;
     const Millis askedAt = m_loop.now();
-    m_advisor.advise(
-            key.toText(), lives, patience,
-            [this, key, lives, askedAt, term = std::weak_ptr(m_term)](const AdviceReply& reply) {
-                if (!term.expired()) {
-                    handleReply(key, lives, askedAt, reply);
-                }
-            });
+    m_advisor.advise(key.toText(), incarnations, patience,
+                     [this, key, incarnations, askedAt,
+                      term = std::weak_ptr(m_term)](const AdviceReply& reply) {
+                         if (!term.expired()) {
+                             handleReply(key, incarnations, askedAt, reply);
+                         }
+                     });
 }
 
-void AdviceBook::handleReply(const StepKey& key, const std::vector<std::string>& lives,
-                             Millis askedAt, const AdviceReply& reply) {
+void TicketCache::handleReply(const StepKey& key, const std::vector<std::string>& incarnations,
+                              Millis askedAt, const AdviceReply& reply) {
     logEvent(reply.m_isGood ? Severity::INFO : Severity::WARNING, "advice",
              reply.m_isGood ? "answered" : "failed",
              {{"step", key.toText()},
-              {"asked", std::to_string(lives.size())},
+              {"asked", std::to_string(incarnations.size())},
               {"good", std::to_string(reply.m_workers.size())},
               {"took_ms", std::to_string((m_loop.now() - askedAt).count())},
               {"reason", reply.m_reason}});
@@ -149,17 +149,17 @@
     const auto found = m_steps.find(key);
     if (found != m_steps.end()) {
         Step& step = found->second;
-        for (const std::string& life : lives) {
-            step.m_verdicts[life] = Verdict();
+        for (const std::string& incarnation : incarnations) {
+            step.m_verdicts[incarnation] = Verdict();
         }
         // The time of asking is the earliest at which the ticket can have been given.
         const Millis until = askedAt + step.m_wish.m_policy.m_valid;
         for (const AdvisedWorker& worker : reply.m_workers) {
-            step.m_verdicts[worker.m_life] = {worker.m_ticket, until};
+            step.m_verdicts[worker.m_incarnation] = {worker.m_ticket, until};
         }
     }
     pump();
-    m_onNews();
+    m_onTicketsChanged();
 }
 
 }  // namespace pierbank
--- a/libs/control/src/UrgentDemand.cpp
+++ b/libs/control/src/UrgentDemand.cpp
@@ -11,7 +11,7 @@
     return std::exp2(-age / static_cast<double>(m_settings.m_halfLife.count()));
 }
 
-void UrgentDemand::note(const JobRecord& record) {
+void UrgentDemand::recordArrival(const JobRecord& record) {
     if (record.m_policy.m_priority != 0) {
         return;
     }
@@ -40,7 +40,7 @@
 }
 
 /** What runs at a time on the mean, and one job more. */
-std::uint32_t UrgentDemand::getReserve(const std::string& service, Millis wallNow) const {
+std::uint32_t UrgentDemand::getHeadroom(const std::string& service, Millis wallNow) const {
     const auto found = m_services.find(service);
     if (found == m_services.end()) {
         return 0;
--- a/libs/control/src/WaveController.cpp
+++ b/libs/control/src/WaveController.cpp
@@ -8,7 +8,7 @@
 #include "pierbank/base/Archive.h"
 #include "pierbank/base/Log.h"
 #include "pierbank/base/UnreadableInputs.h"
-#include "pierbank/control/CertainCommit.h"
+#include "pierbank/control/CommitResolver.h"
 #include "pierbank/control/StoreKeys.h"
 
 namespace pierbank {
@@ -56,7 +56,7 @@
 
 void WaveController::stepDown() {
     m_term.reset();
-    m_loop.cancel(std::exchange(m_lookTimer, TimerId::NONE));
+    m_loop.cancel(std::exchange(m_pollTimer, TimerId::NONE));
     m_waves.clear();
     m_leaving.clear();
 }
@@ -91,7 +91,7 @@
         }
         m_watchedTo = changes.m_at;
         for (const StoreEvent& event : changes.m_events) {
-            if (!event.m_isGone) {
+            if (!event.m_isDeleted) {
                 learn(event.m_item);
             }
         }
@@ -144,7 +144,7 @@
             wave.m_begun.insert(begun->begin(), begun->end());
         }
         write(wave);
-        lookLater();
+        pollLater();
     });
 }
 
@@ -155,12 +155,12 @@
                        [](const auto& entry) { return !entry.second.m_isDone; });
 }
 
-void WaveController::lookLater() {
-    if (m_lookTimer != TimerId::NONE || !isAnyOpen()) {
+void WaveController::pollLater() {
+    if (m_pollTimer != TimerId::NONE || !isAnyOpen()) {
         return;
     }
-    m_lookTimer = m_loop.callLater(m_settings.m_lookInterval, guarded([this] {
-                                       m_lookTimer = TimerId::NONE;
+    m_pollTimer = m_loop.callLater(m_settings.m_pollInterval, guarded([this] {
+                                       m_pollTimer = TimerId::NONE;
                                        look();
                                    }));
 }
@@ -170,7 +170,7 @@
         if (term.expired()) {
             return;
         }
-        lookLater();
+        pollLater();
         if (!list.m_isGood) {
             logEvent(Severity::WARNING, "waves", "no-list", {{"reason", list.m_reason}});
             return;
@@ -308,9 +308,9 @@
                                 {getWaveStateKey(number), wave.m_revision}};
     transaction.m_puts = {{getWaveStateKey(number), toCbor(begun), 0},
                           {getWaveStatusKey(number), m_codec.writeWaveStatus(wave.m_isDone), 0}};
-    CommitPatience patience;
+    CommitRetryPolicy patience;
     patience.m_retriesRefusals = true;
-    CertainCommit::run(
+    CommitResolver::run(
             m_store, m_loop, std::move(transaction), patience, m_term,
             [this, number](const StoreCommit& commit) { handleWritten(number, commit); });
 }
--- a/libs/control/src/WorkerAgent.cpp
+++ b/libs/control/src/WorkerAgent.cpp
@@ -27,7 +27,7 @@
                   },
                   [this](const Frame& frame) { handleFrame(frame); }),
           m_orders(loop, worker, *this, settings.m_orders),
-          m_askInterval(settings.m_askInterval) {
+          m_requestInterval(settings.m_requestInterval) {
     askSoon();
 }
 
@@ -66,8 +66,8 @@
 void WorkerAgent::handleFrame(const Frame& frame) {
     if (const auto* const renewal = std::get_if<LeaseRenewal>(&frame)) {
         handleRenewal(*renewal);
-    } else if (const auto* const kept = std::get_if<EndsKept>(&frame)) {
-        handleKept(*kept);
+    } else if (const auto* const kept = std::get_if<EndsPersisted>(&frame)) {
+        handleEndsPersisted(*kept);
     } else if (const auto* const order = std::get_if<RunOrder>(&frame)) {
         handleStart(*order);
     } else if (const auto* const stop = std::get_if<RunStop>(&frame)) {
@@ -76,13 +76,14 @@
 }
 
 void WorkerAgent::askSoon() {
-    m_loop.callLater(m_askInterval, guarded([this] {
-                         if (m_leader.getSilence() > m_askInterval + m_settings.m_silence) {
-                             m_leader.drop("silent");
-                         }
-                         ask();
-                         askSoon();
-                     }));
+    m_loop.callLater(
+            m_requestInterval, guarded([this] {
+                if (m_leader.getIdleTime() > m_requestInterval + m_settings.m_linkTimeout) {
+                    m_leader.drop("silent");
+                }
+                ask();
+                askSoon();
+            }));
 }
 
 void WorkerAgent::ask() {
@@ -93,12 +94,12 @@
     if (m_asks.size() > MAX_ASKS) {
         m_asks.erase(m_asks.begin());
     }
-    m_leader.send(LeaseAsk{m_askNumber, isWorkerSilent()});
+    m_leader.send(LeaseRequest{m_askNumber, isWorkerUnresponsive()});
 }
 
-bool WorkerAgent::isWorkerSilent() const {
-    const bool isLong = m_loop.now() - m_answeredAt > m_settings.m_workerSilence;
-    return !m_life.isEmpty() && (m_isNobodyThere || isLong);
+bool WorkerAgent::isWorkerUnresponsive() const {
+    const bool isLong = m_loop.now() - m_answeredAt > m_settings.m_workerTimeout;
+    return !m_incarnation.isEmpty() && (m_isConnectionRefused || isLong);
 }
 
 void WorkerAgent::handleRenewal(const LeaseRenewal& renewal) {
@@ -106,8 +107,8 @@
     if (asked == m_asks.end()) {
         return;
     }
-    if (renewal.m_askAfterMs != 0) {
-        m_askInterval = Millis(renewal.m_askAfterMs);
+    if (renewal.m_nextRequestMs != 0) {
+        m_requestInterval = Millis(renewal.m_nextRequestMs);
     }
     const bool hadLease = hasLease();
     m_leaseUntil = std::max(m_leaseUntil, asked->second + Millis(renewal.m_timeToLiveMs));
@@ -118,38 +119,39 @@
     }
 }
 
-void WorkerAgent::handleKept(const EndsKept& kept) {
-    if (kept.m_life != m_lifeName || kept.m_number <= m_lastKept) {
+void WorkerAgent::handleEndsPersisted(const EndsPersisted& kept) {
+    if (kept.m_incarnation != m_incarnationName || kept.m_number <= m_lastPersisted) {
         return;
     }
-    m_lastKept = kept.m_number;
+    m_lastPersisted = kept.m_number;
     m_mustAcknowledge = true;
-    std::erase_if(m_ended, [this](const ListedEnd& end) { return end.m_number <= m_lastKept; });
+    std::erase_if(m_ended,
+                  [this](const ListedEnd& end) { return end.m_number <= m_lastPersisted; });
     m_loop.cancel(m_holdTimer);
     hold(Millis(0));
 }
 
 void WorkerAgent::handleStart(const RunOrder& order) {
     const auto task = TaskKey::parse(order.m_task);
-    if (!task.has_value() || order.m_epoch != m_leader.getEpoch() || m_life.isEmpty()) {
+    if (!task.has_value() || order.m_epoch != m_leader.getEpoch() || m_incarnation.isEmpty()) {
         // Without a life nothing is known of what runs: the leader sends it again with the report.
         return;
     }
-    if (order.m_life != m_lifeName) {
+    if (order.m_incarnation != m_incarnationName) {
         if (!isConfirmed()) {
             // Which of the two is over is not known; the leader sends it again.
             return;
         }
-        m_leader.send(
-                RunAbsent{order.m_life, order.m_task, order.m_run, "another life of the worker"});
+        m_leader.send(RunAbsent{order.m_incarnation, order.m_task, order.m_run,
+                                "another life of the worker"});
         return;
     }
-    m_pacer.learn({*task, order.m_run}, {Millis(order.m_targetTailMs), order.m_isFilling});
+    m_pacer.learn({*task, order.m_run}, {Millis(order.m_latencyTargetMs), order.m_isFilling});
     if (isListed(*task, order.m_run)) {
         return;
     }
-    if (m_isGone || (m_beat.has_value() && m_beat->m_isDraining)) {
-        m_orders.bar(*task, order.m_run, "the worker is draining");
+    if (m_hasExited || (m_heartbeat.has_value() && m_heartbeat->m_isDraining)) {
+        m_orders.preventStart(*task, order.m_run, "the worker is draining");
         return;
     }
     m_orders.start(*task, order);
@@ -157,43 +159,43 @@
 
 void WorkerAgent::handleStop(const RunStop& stop) {
     const auto task = TaskKey::parse(stop.m_task);
-    if (!task.has_value() || stop.m_epoch != m_leader.getEpoch() || m_life.isEmpty()) {
+    if (!task.has_value() || stop.m_epoch != m_leader.getEpoch() || m_incarnation.isEmpty()) {
         return;
     }
-    if (stop.m_life != m_lifeName) {
+    if (stop.m_incarnation != m_incarnationName) {
         if (!isConfirmed()) {
             return;
         }
-        m_leader.send(
-                RunAbsent{stop.m_life, stop.m_task, stop.m_run, "another life of the worker"});
+        m_leader.send(RunAbsent{stop.m_incarnation, stop.m_task, stop.m_run,
+                                "another life of the worker"});
         return;
     }
-    m_orders.bar(*task, stop.m_run, "stopped on the leader's word");
+    m_orders.preventStart(*task, stop.m_run, "stopped on the leader's word");
 }
 
 /** A heartbeat may be a former life's that was delayed: the leader hears of a confirmed life only.
  */
 void WorkerAgent::sendNotice() {
-    if (!m_life.isEmpty() && !isConfirmed()) {
+    if (!m_incarnation.isEmpty() && !isConfirmed()) {
         return;
     }
     WorkerNotice notice;
-    notice.m_life = m_lifeName;
-    notice.m_isGone = m_isGone;
+    notice.m_incarnation = m_incarnationName;
+    notice.m_hasExited = m_hasExited;
     notice.m_crashes.assign(m_crashes.begin(), m_crashes.end());
-    if (m_beat.has_value()) {
-        notice.m_service = m_beat->m_service;
-        notice.m_failureDomain = m_beat->m_failureDomain;
-        notice.m_rack = m_beat->m_rack;
-        notice.m_labels = m_beat->m_labels;
-        notice.m_cpuMillis = m_beat->m_capacity.m_cpuMillis;
-        notice.m_memoryMb = m_beat->m_capacity.m_memoryMb;
-        notice.m_accelerators = m_beat->m_capacity.m_accelerators;
-        notice.m_wholeCpuMillis = m_wholeCapacity.m_cpuMillis;
-        notice.m_wholeMemoryMb = m_wholeCapacity.m_memoryMb;
-        notice.m_wholeAccelerators = m_wholeCapacity.m_accelerators;
-        notice.m_isDraining = m_beat->m_isDraining;
-        notice.m_remainingMs = static_cast<std::uint64_t>(m_beat->m_remaining.count());
+    if (m_heartbeat.has_value()) {
+        notice.m_service = m_heartbeat->m_service;
+        notice.m_failureDomain = m_heartbeat->m_failureDomain;
+        notice.m_rack = m_heartbeat->m_rack;
+        notice.m_labels = m_heartbeat->m_labels;
+        notice.m_cpuMillis = m_heartbeat->m_capacity.m_cpuMillis;
+        notice.m_memoryMb = m_heartbeat->m_capacity.m_memoryMb;
+        notice.m_accelerators = m_heartbeat->m_capacity.m_accelerators;
+        notice.m_fullCpuMillis = m_fullCapacity.m_cpuMillis;
+        notice.m_fullMemoryMb = m_fullCapacity.m_memoryMb;
+        notice.m_fullAccelerators = m_fullCapacity.m_accelerators;
+        notice.m_isDraining = m_heartbeat->m_isDraining;
+        notice.m_remainingMs = static_cast<std::uint64_t>(m_heartbeat->m_remaining.count());
         notice.m_coldLeftMs = static_cast<std::uint64_t>(getColdLeft().count());
     }
     m_leader.send(notice);
@@ -201,7 +203,7 @@
 
 void WorkerAgent::sendReport() {
     RunReport report;
-    report.m_life = m_lifeName;
+    report.m_incarnation = m_incarnationName;
     for (const ListedRun& run : m_running) {
         report.m_running.push_back(
                 {run.m_task.toText(), run.m_run, run.m_checkpoint, run.m_percent});
@@ -213,7 +215,7 @@
     const bool isNews = report.m_ended != m_sentReport.m_ended ||
                         report.m_running.size() != m_sentReport.m_running.size();
     if (!isNews && !m_mustReport &&
-        m_loop.now() - m_reportedAt < std::max(REPORT_INTERVAL, m_askInterval)) {
+        m_loop.now() - m_reportedAt < std::max(REPORT_INTERVAL, m_requestInterval)) {
         return;
     }
     if (m_leader.send(report)) {
@@ -243,30 +245,30 @@
     });
 }
 
-std::uint64_t WorkerAgent::lookAgain() {
+std::uint64_t WorkerAgent::pollAgain() {
     hold(Millis(0));
     return m_holdNumber;
 }
 
-void WorkerAgent::noteSent(const TaskKey& task, std::uint32_t run) {
-    m_account.noteSent({task, run}, m_loop.now());
+void WorkerAgent::recordSent(const TaskKey& task, std::uint32_t run) {
+    m_account.recordSent({task, run}, m_loop.now());
 }
 
-void WorkerAgent::noteBegun(const TaskKey& task, std::uint32_t run) {
-    m_account.noteBegun({task, run}, m_loop.now());
+void WorkerAgent::recordStarted(const TaskKey& task, std::uint32_t run) {
+    m_account.recordStarted({task, run}, m_loop.now());
 }
 
-void WorkerAgent::noteRefused(const TaskKey& task, std::uint32_t run) {
-    m_account.noteNotThere({task, run});
+void WorkerAgent::recordRefused(const TaskKey& task, std::uint32_t run) {
+    m_account.recordAbsent({task, run});
 }
 
 void WorkerAgent::reportAbsent(const TaskKey& task, std::uint32_t run, std::string_view reason) {
-    m_account.noteNotThere({task, run});
+    m_account.recordAbsent({task, run});
     logEvent(Severity::INFO, "agent", "run-absent",
              {{"task", task.toText()},
               {"run", std::to_string(run)},
               {"reason", std::string(reason)}});
-    m_leader.send(RunAbsent{m_lifeName, task.toText(), run, std::string(reason)});
+    m_leader.send(RunAbsent{m_incarnationName, task.toText(), run, std::string(reason)});
 }
 
 }  // namespace pierbank
--- a/libs/control/src/WorkerAgentHold.cpp
+++ b/libs/control/src/WorkerAgentHold.cpp
@@ -47,7 +47,7 @@
 
 /** A hold that waits is sent one at a time; one that doesn't may overtake it. */
 void WorkerAgent::hold(Millis wait) {
-    if (m_life.isEmpty() || m_leader.getEpoch() == 0) {
+    if (m_incarnation.isEmpty() || m_leader.getEpoch() == 0) {
         return;
     }
     // To a process that may be another one nothing is said, and its answer names it at once.
@@ -67,7 +67,7 @@
 void WorkerAgent::acknowledge() {
     m_mustAcknowledge = false;
     HoldCall call;
-    call.m_lastKept = m_lastKept;
+    call.m_lastPersisted = m_lastPersisted;
     call.m_until = getUntil();
     sendHold(call);
 }
@@ -90,25 +90,25 @@
 
 void WorkerAgent::handleHold(const HoldReply& reply, std::uint64_t number) {
     if (reply.m_status != WorkerStatus::OK) {
-        noteNoAnswer(reply);
+        recordNoAnswer(reply);
         return;
     }
     if (isOther(reply)) {
         // It was sent after all that is known of the present life: that one is over.
-        changeLife({m_life.m_id, reply.m_bornAt});
+        changeIncarnation({m_incarnation.m_id, reply.m_processStartedAt});
         return;
     }
     noteAnswer(number);
     const bool isFirst = !m_clock.has_value();
-    const bool wasSilent = isWorkerSilent();
+    const bool wasSilent = isWorkerUnresponsive();
     m_answeredAt = m_loop.now();
-    m_isNobodyThere = false;
+    m_isConnectionRefused = false;
     if (wasSilent) {
         ask();
     }
     m_clock = {reply.m_clock, m_loop.now()};
     if (isFirst) {
-        settleCrashes(reply);
+        resolveCrashes(reply);
         // Before the first report, which would else be taken for the old life's.
         sendNotice();
         // The former life was silent at its end: the leader uses the worker when it hears
@@ -119,7 +119,7 @@
     // Answers on different connections overtake each other.
     if (number > m_holdSeen) {
         m_holdSeen = number;
-        handleLook(reply, number);
+        handlePoll(reply, number);
     }
     if (isFirst) {
         hold(Millis(0));
@@ -140,17 +140,17 @@
  * The process may be gone, and the next one that answers another. That one does what was sent to
  * its predecessor and arrives late until it has been called, so it is called at once.
  */
-void WorkerAgent::noteNoAnswer(const HoldReply& reply) {
+void WorkerAgent::recordNoAnswer(const HoldReply& reply) {
     const bool wasAnswering = std::exchange(m_isAnswering, false);
     if (wasAnswering) {
         m_fence.raise();
     }
     m_firstSince = m_holdNumber + 1;
-    m_account.noteNoAnswer(m_loop.now());
-    noteNobodyThere(reply.m_isNobodyThere);
+    m_account.recordNoAnswer(m_loop.now());
+    noteNobodyThere(reply.m_isConnectionRefused);
     logNoAnswer(reply, wasAnswering);
-    if (reply.m_status == WorkerStatus::OTHER_LIFE && m_claim.has_value()) {
-        changeLife(m_claim->m_life);
+    if (reply.m_status == WorkerStatus::OTHER_INCARNATION && m_claim.has_value()) {
+        changeIncarnation(m_claim->m_incarnation);
         return;
     }
     holdLater(wasAnswering ? Millis(0) : getAwayPause(reply));
@@ -158,7 +158,7 @@
 
 Millis WorkerAgent::getAwayPause(const HoldReply& reply) const {
     const bool mayComeLate = m_loop.now() - m_answeredAt <= m_settings.m_lateCalls;
-    return reply.m_isNobodyThere && mayComeLate ? m_settings.m_awayPause : m_settings.m_pause;
+    return reply.m_isConnectionRefused && mayComeLate ? m_settings.m_awayPause : m_settings.m_pause;
 }
 
 /** Not each of many alike. */
@@ -168,7 +168,7 @@
     }
     m_noAnswerLoggedAt = m_loop.now();
     logEvent(Severity::WARNING, "agent", "hold-failed",
-             {{"life", m_lifeName},
+             {{"life", m_incarnationName},
               {"reason", reply.m_reason},
               {"silent_ms", std::to_string((m_loop.now() - m_answeredAt).count())},
               {"epoch", std::to_string(m_leader.getEpoch())}});
@@ -187,31 +187,31 @@
  * were placed on such a worker waited for its next life, 2.6 s in the case that showed it.
  */
 void WorkerAgent::noteNobodyThere(bool isNobodyThere) {
-    const bool wasSilent = isWorkerSilent();
-    m_isNobodyThere = isNobodyThere;
-    if (!wasSilent && isWorkerSilent()) {
+    const bool wasSilent = isWorkerUnresponsive();
+    m_isConnectionRefused = isNobodyThere;
+    if (!wasSilent && isWorkerUnresponsive()) {
         ask();
     }
 }
 
-void WorkerAgent::handleLook(const HoldReply& reply, std::uint64_t number) {
+void WorkerAgent::handlePoll(const HoldReply& reply, std::uint64_t number) {
     m_running = reply.m_running;
     m_ended = reply.m_ended;
     const auto isKept = [this](const ListedEnd& end) {
-        return end.m_number <= m_lastKept;
+        return end.m_number <= m_lastPersisted;
     };
     if (std::erase_if(m_ended, isKept) != 0) {
         // The call that told so was not done, or is not yet.
         m_mustAcknowledge = true;
     }
-    m_account.noteLook(m_running, reply.m_ended, m_loop.now());
-    m_orders.handleLook(number);
+    m_account.recordPoll(m_running, reply.m_ended, m_loop.now());
+    m_orders.handlePoll(number);
     sendReport();
     pace();
 }
 
 void WorkerAgent::pace() {
-    for (const PaceCall& call : m_pacer.look(m_running, m_loop.now())) {
+    for (const ThrottleCall& call : m_pacer.look(m_running, m_loop.now())) {
         m_worker.pace(getCall(), call,
                       [this, call, term = std::weak_ptr(m_term)](const RunReply& reply) {
                           if (term.expired() || reply.m_status == WorkerStatus::OK) {
