--- a/libs/control/src/WorkerHealth.cpp
+++ b/libs/control/src/WorkerHealth.cpp
@@ -25,7 +25,7 @@
     return host.m_blame * std::exp2(-age / static_cast<double>(halfLife.count()));
 }
 
-void WorkerHealth::noteEnd(const RunEvidence& evidence, Millis now) {
+void WorkerHealth::recordRunEnd(const RunEvidence& evidence, Millis now) {
     forgetJobs(now);
     if (evidence.m_end == RunEnd::DONE) {
         constexpr int MEMORY = 10;
@@ -41,7 +41,7 @@
     }
 }
 
-void WorkerHealth::noteStalled(const std::string& name, Millis now) {
+void WorkerHealth::recordStalled(const std::string& name, Millis now) {
     Host& host = m_hosts[name];
     host.m_failedAt = now;
     const double blame = getBlame(host, now);
@@ -57,7 +57,7 @@
     return found == m_hosts.end() ? std::nullopt : found->second.m_stalledAt;
 }
 
-void WorkerHealth::noteAdvanced(const std::string& name, Millis now) {
+void WorkerHealth::recordAdvanced(const std::string& name, Millis now) {
     const auto found = m_hosts.find(name);
     if (found == m_hosts.end() || !found->second.m_stalledAt.has_value()) {
         return;
--- a/libs/control/src/WorkerPool.cpp
+++ b/libs/control/src/WorkerPool.cpp
@@ -46,28 +46,28 @@
     }
     m_hosts.clear();
     m_linkCounts.clear();
-    m_urgentHosts.clear();
+    m_priorityHosts.clear();
     m_toOpen.clear();
     for (const auto& [address, timer] : std::exchange(m_opening, {})) {
         m_loop.cancel(timer);
     }
 }
 
-void WorkerPool::setUrgentHosts(std::set<std::string, std::less<>> hosts) {
-    m_urgentHosts = std::move(hosts);
-    m_isOpeningFirst = true;
+void WorkerPool::setPriorityHosts(std::set<std::string, std::less<>> hosts) {
+    m_priorityHosts = std::move(hosts);
+    m_isOpeningInitialLinks = true;
 }
 
 /**
  * Each question is a message to read and one to write, so that with many hosts they are most of
  * what a leader does. A longer interval lets a lease lapse sooner after a host's death, not later.
  */
-Millis WorkerPool::getAskInterval() const {
-    const double each = MILLIS_PER_SECOND / m_settings.m_asksPerSecond;
+Millis WorkerPool::getRequestInterval() const {
+    const double each = MILLIS_PER_SECOND / m_settings.m_requestsPerSecond;
     const Millis fair(std::llround(each * static_cast<double>(m_hosts.size())));
-    const Millis most(
-            std::llround(m_settings.m_askShare * static_cast<double>(m_settings.m_grant.count())));
-    return std::max(m_settings.m_leastAskInterval, std::min(fair, most));
+    const Millis most(std::llround(m_settings.m_requestIntervalShare *
+                                   static_cast<double>(m_settings.m_grant.count())));
+    return std::max(m_settings.m_minRequestInterval, std::min(fair, most));
 }
 
 /** What a lease may take on a worker's clock that is slow. */
@@ -91,7 +91,7 @@
     }
     Host& host = m_hosts[address];
     host.m_address = address;
-    host.m_heardAt = m_loop.now();
+    host.m_lastReceivedAt = m_loop.now();
     // An earlier leader may go on granting without the store until its grace is over.
     host.m_grantedUntil = m_loop.now() + m_settings.m_outageGrace + getLongestGrant();
     connectSoon(address);
@@ -114,14 +114,14 @@
 }
 
 void WorkerPool::noteOrder(Host& host, const RunOrder& order) {
-    host.m_unshownOrders[{order.m_task, order.m_run}] = m_loop.now();
+    host.m_unreportedOrders[{order.m_task, order.m_run}] = m_loop.now();
     host.m_grantedUntil = std::max(host.m_grantedUntil, getLeastUntil(host));
 }
 
 /** What a process that nobody has heard of may have begun there ends by then. */
 Millis WorkerPool::getLeastUntil(const Host& host) const {
-    Millis until = host.m_leastUntil;
-    for (const auto& [run, sentAt] : host.m_unshownOrders) {
+    Millis until = host.m_minLeaseEnd;
+    for (const auto& [run, sentAt] : host.m_unreportedOrders) {
         until = std::max(until, sentAt + withSlack(m_settings.m_longestHold));
     }
     return until;
@@ -130,21 +130,21 @@
 /** What a report shows was begun by the process that it speaks for, under that one's clock. */
 void WorkerPool::takeReport(Host& host, const RunReport& report) {
     for (const RunningEntry& run : report.m_running) {
-        host.m_unshownOrders.erase({run.m_task, run.m_run});
+        host.m_unreportedOrders.erase({run.m_task, run.m_run});
     }
     for (const EndedEntry& end : report.m_ended) {
-        host.m_unshownOrders.erase({end.m_task, end.m_run});
+        host.m_unreportedOrders.erase({end.m_task, end.m_run});
     }
-    std::erase_if(host.m_unshownOrders, [this](const auto& order) {
+    std::erase_if(host.m_unreportedOrders, [this](const auto& order) {
         return order.second + withSlack(m_settings.m_longestHold) < m_loop.now();
     });
 }
 
 void WorkerPool::handleFrame(const std::string& address, const Frame& frame) {
     Host& host = m_hosts[address];
-    host.m_heardAt = m_loop.now();
-    if (const auto* const ask = std::get_if<LeaseAsk>(&frame)) {
-        answerAsk(host, *ask);
+    host.m_lastReceivedAt = m_loop.now();
+    if (const auto* const ask = std::get_if<LeaseRequest>(&frame)) {
+        answerLeaseRequest(host, *ask);
     } else if (const auto* const notice = std::get_if<WorkerNotice>(&frame)) {
         takeNotice(host, *notice);
         m_listener.handleWorkerChanged(address);
@@ -157,43 +157,43 @@
             m_listener.handleWorkerChanged(address);
         }
     } else if (const auto* const absent = std::get_if<RunAbsent>(&frame)) {
-        host.m_unshownOrders.erase({absent->m_task, absent->m_run});
+        host.m_unreportedOrders.erase({absent->m_task, absent->m_run});
         m_listener.handleRunAbsent(address, *absent);
     } else if (const auto* const input = std::get_if<InputNotice>(&frame)) {
         m_listener.handleInputNotice(*input);
     } else if (const auto* const request = std::get_if<RelayedRequest>(&frame)) {
         m_listener.handleRelayed(address, *request);
-    } else if (const auto* const asked = std::get_if<GatewayAsk>(&frame)) {
+    } else if (const auto* const asked = std::get_if<GatewayQuery>(&frame)) {
         host.m_fitness = asked->m_fitness;
         host.m_isLost = false;
         host.m_grantedUntil = m_loop.now() + getLongestGrant();
         noteOpened(address);
-        m_listener.handleGatewayAsk(address, *asked);
+        m_listener.handleGatewayQuery(address, *asked);
     }
 }
 
 void WorkerPool::takeNotice(Host& host, const WorkerNotice& notice) {
-    if (!host.m_notice.has_value() || host.m_notice->m_life != notice.m_life) {
-        host.m_leastUntil = m_loop.now() + withSlack(m_settings.m_longestHold);
-        host.m_grantedUntil = std::max(host.m_grantedUntil, host.m_leastUntil);
+    if (!host.m_notice.has_value() || host.m_notice->m_incarnation != notice.m_incarnation) {
+        host.m_minLeaseEnd = m_loop.now() + withSlack(m_settings.m_longestHold);
+        host.m_grantedUntil = std::max(host.m_grantedUntil, host.m_minLeaseEnd);
     }
     host.m_notice = notice;
     host.m_noticeAt = m_loop.now();
-    if (notice.m_isDraining || notice.m_isGone) {
-        host.m_leavingLife = notice.m_life;
+    if (notice.m_isDraining || notice.m_hasExited) {
+        host.m_leavingIncarnation = notice.m_incarnation;
     }
 }
 
-void WorkerPool::answerAsk(Host& host, const LeaseAsk& ask) {
-    if (host.m_isWorkerSilent != ask.m_isWorkerSilent) {
-        host.m_isWorkerSilent = ask.m_isWorkerSilent;
+void WorkerPool::answerLeaseRequest(Host& host, const LeaseRequest& ask) {
+    if (host.m_isWorkerUnresponsive != ask.m_isWorkerUnresponsive) {
+        host.m_isWorkerUnresponsive = ask.m_isWorkerUnresponsive;
         logEvent(Severity::WARNING, "workers", "worker-silence",
                  {{"host", host.m_address},
-                  {"silent", ask.m_isWorkerSilent ? "yes" : "no"},
+                  {"silent", ask.m_isWorkerUnresponsive ? "yes" : "no"},
                   {"lease_ms", std::to_string((host.m_grantedUntil - m_loop.now()).count())}});
     }
     const Millis sinceConfirmed = m_loop.now() - m_getConfirmedAt();
-    if (sinceConfirmed > m_settings.m_outageGrace || ask.m_isWorkerSilent) {
+    if (sinceConfirmed > m_settings.m_outageGrace || ask.m_isWorkerUnresponsive) {
         return;
     }
     host.m_grantedUntil = std::max(host.m_grantedUntil, m_loop.now() + getLongestGrant());
@@ -203,7 +203,7 @@
     }
     host.m_isLost = false;
     const auto ttl = static_cast<std::uint64_t>(m_settings.m_grant.count());
-    const auto askAfter = static_cast<std::uint64_t>(getAskInterval().count());
+    const auto askAfter = static_cast<std::uint64_t>(getRequestInterval().count());
     host.m_link->send(LeaseRenewal{m_epoch, ask.m_sequence, ttl, askAfter});
 }
 
@@ -211,9 +211,9 @@
     std::vector<std::string> silent;
     std::vector<std::string> lost;
     const Millis now = m_loop.now();
-    const Millis silence = getAskInterval() + m_settings.m_silence;
+    const Millis silence = getRequestInterval() + m_settings.m_linkTimeout;
     for (auto& [address, host] : m_hosts) {
-        if (host.isLinked() && now - host.m_heardAt > silence) {
+        if (host.isLinked() && now - host.m_lastReceivedAt > silence) {
             silent.push_back(address);
         }
         if (!host.m_isLost && now > host.m_grantedUntil) {
@@ -229,7 +229,7 @@
         m_listener.handleHostLost(address);
     }
     countGateways();
-    forgetGone();
+    removeExpiredHosts();
     m_loop.callLater(TICK, [this, term = std::weak_ptr(m_term)] {
         if (!term.expired()) {
             tick();
@@ -247,11 +247,11 @@
     }
 }
 
-void WorkerPool::forgetGone() {
+void WorkerPool::removeExpiredHosts() {
     std::vector<std::string> gone;
     for (const auto& [address, host] : m_hosts) {
         const bool isGone = !host.isLinked() && host.m_isLost &&
-                            m_loop.now() - host.m_heardAt > m_settings.m_forgetAfter;
+                            m_loop.now() - host.m_lastReceivedAt > m_settings.m_hostExpiry;
         if (isGone) {
             gone.push_back(address);
         }
@@ -260,8 +260,8 @@
         m_hosts.erase(address);
         logEvent(Severity::WARNING, "workers", "host-forgotten",
                  {{"host", address},
-                  {"out_of_reach_s", std::to_string(m_settings.m_forgetAfter.count() / 1000)}});
-        m_listener.handleHostGone(address);
+                  {"out_of_reach_s", std::to_string(m_settings.m_hostExpiry.count() / 1000)}});
+        m_listener.handleHostExpired(address);
     }
 }
 
--- a/libs/control/src/WorkerPoolLinks.cpp
+++ b/libs/control/src/WorkerPoolLinks.cpp
@@ -9,12 +9,12 @@
 
 /**
  * A host registers when it starts, and when it has no leader. A link to its former process may say
- * nothing of that for `m_silence`, and a connection that was begun while it was without power only
- * goes on when the first packet is sent again, after a second.
+ * nothing of that for `m_linkTimeout`, and a connection that was begun while it was without power
+ * only goes on when the first packet is sent again, after a second.
  */
 void WorkerPool::reconnect(Host& host) {
-    const Millis quiet = getAskInterval() + m_settings.m_quiet;
-    const bool isQuiet = m_loop.now() - host.m_heardAt > quiet;
+    const Millis quiet = getRequestInterval() + m_settings.m_idleSlack;
+    const bool isQuiet = m_loop.now() - host.m_lastReceivedAt > quiet;
     if (host.isLinked() && isQuiet) {
         dropLink(host.m_address, "registered anew");
     }
@@ -24,7 +24,7 @@
 }
 
 void WorkerPool::connectSoon(const std::string& address) {
-    if (m_urgentHosts.count(address) != 0) {
+    if (m_priorityHosts.count(address) != 0) {
         m_toOpen.push_front(address);
     } else {
         m_toOpen.push_back(address);
@@ -33,7 +33,7 @@
 }
 
 void WorkerPool::openNext() {
-    while (!m_toOpen.empty() && m_opening.size() < m_settings.m_linksAtOnce) {
+    while (!m_toOpen.empty() && m_opening.size() < m_settings.m_maxOpeningLinks) {
         const std::string address = std::move(m_toOpen.front());
         m_toOpen.pop_front();
         const auto found = m_hosts.find(address);
@@ -42,7 +42,7 @@
         if (!isWanted) {
             continue;
         }
-        m_opening[address] = m_loop.callLater(m_settings.m_openPatience,
+        m_opening[address] = m_loop.callLater(m_settings.m_linkOpenTimeout,
                                               [this, address, term = std::weak_ptr(m_term)] {
                                                   if (!term.expired()) {
                                                       noteOpened(address);
@@ -50,7 +50,7 @@
                                               });
         connect(address);
     }
-    m_isOpeningFirst = m_isOpeningFirst && !(m_toOpen.empty() && m_opening.empty());
+    m_isOpeningInitialLinks = m_isOpeningInitialLinks && !(m_toOpen.empty() && m_opening.empty());
 }
 
 /** A link was opened and its host has told what runs there, or it has had its time. */
@@ -117,7 +117,7 @@
     Host& host = m_hosts[address];
     host.m_link = std::move(link);
     host.m_hasReport = false;
-    host.m_heardAt = m_loop.now();
+    host.m_lastReceivedAt = m_loop.now();
     const auto term = std::weak_ptr(m_term);
     host.m_link->setCallbacks(
             [this, address, term](const Frame& frame) {
--- a/libs/control/test/HostSpeedsTest.cpp
+++ b/libs/control/test/HostSpeedsTest.cpp
@@ -31,7 +31,8 @@
             for (int run = 0; run < 8; ++run) {
                 const int host = pick(m_engine);
                 const double rate = work * getSpeed(host) * std::exp(uneven(m_engine));
-                m_speeds.note({getHost(host), "job.0." + std::to_string(m_steps), rate}, m_now);
+                m_speeds.recordSample({getHost(host), "job.0." + std::to_string(m_steps), rate},
+                                      m_now);
             }
             ++m_steps;
             m_now += Millis(500);
@@ -46,7 +47,7 @@
 
 TEST_F(HostSpeedsTest, AHostThatNothingIsKnownOfIsAMeanOne) {
     EXPECT_EQ(m_speeds.getSlowness("h0"), 1.0);
-    m_speeds.note({"h0", "job.0.0", 5.0}, m_now);
+    m_speeds.recordSample({"h0", "job.0.0", 5.0}, m_now);
     EXPECT_EQ(m_speeds.getSlowness("h0"), 1.0) << "a run alone tells nothing";
 }
 
@@ -67,9 +68,9 @@
     for (int i = 0; i < 20; ++i) {
         const std::string step = "late.0." + std::to_string(i);
         for (const char* host : {"h1", "h4", "h7"}) {
-            m_speeds.note({host, step, 10.0}, m_now);
+            m_speeds.recordSample({host, step, 10.0}, m_now);
         }
-        m_speeds.note({"h2", step, 5.0}, m_now);
+        m_speeds.recordSample({"h2", step, 5.0}, m_now);
     }
     EXPECT_GT(m_speeds.getSlowness("h2"), 1.4);
 }
@@ -78,7 +79,7 @@
     playSteps(30);
     ASSERT_NE(m_speeds.getSlowness("h2"), 1.0);
     m_now += Millis(3'700'000);
-    m_speeds.note({"h1", "later.0.0", 5.0}, m_now);
+    m_speeds.recordSample({"h1", "later.0.0", 5.0}, m_now);
     EXPECT_EQ(m_speeds.getSlowness("h2"), 1.0);
     EXPECT_EQ(m_speeds.getEvidence("h2"), 0.0);
 }
--- a/libs/control/test/OrderBookTest.cpp
+++ b/libs/control/test/PendingOrdersTest.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "pierbank/control/OrderBook.h"
+#include "pierbank/control/PendingOrders.h"
 
 #include <gtest/gtest.h>
 
@@ -28,10 +28,10 @@
         return m_worker.isRunning(task);
     }
     bool isEnded(const TaskKey&, std::uint32_t) const override { return false; }
-    std::uint64_t lookAgain() override { return ++m_looks; }
-    void noteSent(const TaskKey&, std::uint32_t) override { ++m_sent; }
-    void noteBegun(const TaskKey&, std::uint32_t) override {}
-    void noteRefused(const TaskKey&, std::uint32_t) override {}
+    std::uint64_t pollAgain() override { return ++m_looks; }
+    void recordSent(const TaskKey&, std::uint32_t) override { ++m_sent; }
+    void recordStarted(const TaskKey&, std::uint32_t) override {}
+    void recordRefused(const TaskKey&, std::uint32_t) override {}
     void reportAbsent(const TaskKey&, std::uint32_t, std::string_view reason) override {
         m_absent = reason;
     }
@@ -45,11 +45,11 @@
     const FakeTaskWorker& m_worker;
 };
 
-class OrderBookTest : public ::testing::Test {
+class PendingOrdersTest : public ::testing::Test {
 protected:
     void start() {
         RunOrder order;
-        order.m_life = m_worker.getId();
+        order.m_incarnation = m_worker.getId();
         order.m_task = TASK.toText();
         order.m_run = 1;
         order.m_payload = "1000";
@@ -59,17 +59,17 @@
 
     void letBarBeSeen() {
         m_loop.advance(Millis(100));
-        m_book.handleLook(m_context.m_looks);
+        m_book.handlePoll(m_context.m_looks);
     }
 
     ManualEventLoop m_loop;
     RunWitness m_witness;
     FakeTaskWorker m_worker{m_loop, m_witness, "w"};
     FakeOrderContext m_context{m_worker};
-    OrderBook m_book{m_loop, m_worker, m_context, OrderBookSettings()};
+    PendingOrders m_book{m_loop, m_worker, m_context, PendingOrdersSettings()};
 };
 
-class AnOrderWithoutALease : public OrderBookTest {
+class AnOrderWithoutALease : public PendingOrdersTest {
 protected:
     AnOrderWithoutALease() {
         m_context.m_hasLease = false;
@@ -98,18 +98,18 @@
 }
 
 /** A third try began a run once more, in the worker's next process. */
-TEST_F(OrderBookTest, AStartWhoseRunIsListedIsNotTriedAgain) {
+TEST_F(PendingOrdersTest, AStartWhoseRunIsListedIsNotTriedAgain) {
     m_worker.m_startsToDelay = 2;
     m_worker.m_startDelay = Millis(100);
     start();
     m_loop.advance(Millis(200));
     ASSERT_TRUE(m_worker.isRunning(TASK));
-    m_book.handleLook(++m_context.m_looks);
+    m_book.handlePoll(++m_context.m_looks);
     m_loop.advance(Millis(3000));
     EXPECT_EQ(m_context.m_sent, 1U);
 }
 
-TEST_F(OrderBookTest, AStartWithoutAnAnswerIsTriedThreeTimesWithinTheLifeOfItsOrder) {
+TEST_F(PendingOrdersTest, AStartWithoutAnAnswerIsTriedThreeTimesWithinTheLifeOfItsOrder) {
     m_worker.m_isSilent = true;
     start();
     for (int i = 0; i < 50; ++i) {
--- a/libs/control/test/PlanPaceTest.cpp
+++ b/libs/control/test/PlanThrottleTest.cpp
@@ -1,28 +1,28 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "pierbank/control/PlanPace.h"
+#include "pierbank/control/PlanThrottle.h"
 
 #include <gtest/gtest.h>
 
 namespace pierbank {
 namespace {
 
-TEST(PlanPaceTest, APlanThatTakesNoTimeDelaysNoOther) {
-    PlanPace pace;
-    pace.notePlan(Millis(1000), Millis(1000));
+TEST(PlanThrottleTest, APlanThatTakesNoTimeDelaysNoOther) {
+    PlanThrottle pace;
+    pace.recordPlan(Millis(1000), Millis(1000));
     EXPECT_EQ(pace.getNextAt(), Millis(1000));
 }
 
 /** 800 workers that link by and by, each of them a reason to plan, on a host that plans in 15 ms.
  */
-TEST(PlanPaceTest, PlansOfASlowHostLeaveMostOfItsTimeToOtherWork) {
+TEST(PlanThrottleTest, PlansOfASlowHostLeaveMostOfItsTimeToOtherWork) {
     constexpr Millis TOOK{15};
-    PlanPace pace;
+    PlanThrottle pace;
     Millis now(1000);
     Millis planning(0);
     const Millis end = now + Millis(4000);
     while (now < end) {
         if (now >= pace.getNextAt()) {
-            pace.notePlan(now, now + TOOK);
+            pace.recordPlan(now, now + TOOK);
             planning += TOOK;
             now += TOOK;
         } else {
--- a/libs/control/test/RetryAdviceTest.cpp
+++ b/libs/control/test/RetryAfterPolicyTest.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "pierbank/control/RetryAdvice.h"
+#include "pierbank/control/RetryAfterPolicy.h"
 
 #include <gtest/gtest.h>
 
@@ -9,23 +9,23 @@
 namespace pierbank {
 namespace {
 
-class RetryAdviceTest : public ::testing::Test {
+class RetryAfterPolicyTest : public ::testing::Test {
 protected:
     Millis advise(Millis now, bool isUrgent = true, const std::string& id = "a") const {
         return m_advice.advise({id, isUrgent, Millis(0)}, now);
     }
 
-    RetryAdviceSettings m_settings;
-    RetryAdvice m_advice{m_settings};
+    RetryAfterPolicySettings m_settings;
+    RetryAfterPolicy m_advice{m_settings};
 };
 
-TEST_F(RetryAdviceTest, IsTheLeastTimeWhenTheStoreIsThere) {
+TEST_F(RetryAfterPolicyTest, IsTheLeastTimeWhenTheStoreIsThere) {
     EXPECT_EQ(advise(Millis(5000)), m_settings.m_least);
 }
 
-class TheFirstOutage : public RetryAdviceTest {
+class TheFirstOutage : public RetryAfterPolicyTest {
 protected:
-    void SetUp() override { m_advice.noteLost(Millis(10'000)); }
+    void SetUp() override { m_advice.recordLost(Millis(10'000)); }
 };
 
 TEST_F(TheFirstOutage, IsTakenToLastHalfItsAgeMore) {
@@ -55,8 +55,8 @@
 protected:
     void SetUp() override {
         TheFirstOutage::SetUp();
-        m_advice.noteRegained(Millis(14'000));
-        m_advice.noteLost(Millis(50'000));
+        m_advice.recordRegained(Millis(14'000));
+        m_advice.recordLost(Millis(50'000));
     }
 };
 
--- a/libs/control/test/UrgentDemandTest.cpp
+++ b/libs/control/test/UrgentDemandTest.cpp
@@ -18,7 +18,7 @@
         step.m_need.m_accelerators = 1;
         step.m_estimate = Millis(2000);
         record.m_spec.m_steps = {step};
-        m_demand.note(record);
+        m_demand.recordArrival(record);
     }
 
     UrgentDemand m_demand{UrgentDemandSettings()};
@@ -26,7 +26,7 @@
 
 TEST_F(UrgentDemandTest, IsNothingBeforeAnythingUrgentArrives) {
     arrive(Millis(1000), 10, 1);
-    EXPECT_EQ(m_demand.getReserve("s", Millis(1000)), 0U);
+    EXPECT_EQ(m_demand.getHeadroom("s", Millis(1000)), 0U);
 }
 
 TEST_F(UrgentDemandTest, OfASteadyStreamIsWhatRunsAtATimeAndOneJobMore) {
@@ -36,21 +36,21 @@
         arrive(now);
     }
     // Two jobs a second of 10 accelerators for 2 s: 40 run at a time.
-    EXPECT_NEAR(m_demand.getReserve("s", now), 50, 2);
-    EXPECT_EQ(m_demand.getReserve("another", now), 0U);
+    EXPECT_NEAR(m_demand.getHeadroom("s", now), 50, 2);
+    EXPECT_EQ(m_demand.getHeadroom("another", now), 0U);
 }
 
 TEST_F(UrgentDemandTest, FadesWhenNothingUrgentArrivesAnyMore) {
     arrive(Millis(1000));
     arrive(Millis(2000));
-    EXPECT_GT(m_demand.getReserve("s", Millis(2000)), 9U);
-    EXPECT_EQ(m_demand.getReserve("s", Millis(22'000)), 0U);
+    EXPECT_GT(m_demand.getHeadroom("s", Millis(2000)), 9U);
+    EXPECT_EQ(m_demand.getHeadroom("s", Millis(22'000)), 0U);
 }
 
 TEST_F(UrgentDemandTest, CountsJobsThatAreHeardOfLateAsOld) {
     arrive(Millis(100'000));
     arrive(Millis(1000), 8000);
-    EXPECT_LT(m_demand.getReserve("s", Millis(100'000)), 30U);
+    EXPECT_LT(m_demand.getHeadroom("s", Millis(100'000)), 30U);
 }
 
 }  // namespace
--- a/libs/control/test/WorkerHealthTest.cpp
+++ b/libs/control/test/WorkerHealthTest.cpp
@@ -9,10 +9,10 @@
 class WorkerHealthTest : public ::testing::Test {
 protected:
     void fail(const std::string& host, const std::string& job, Millis ran = Millis(50)) {
-        m_health.noteEnd({host, job, RunEnd::FAILED, ran}, m_now);
+        m_health.recordRunEnd({host, job, RunEnd::FAILED, ran}, m_now);
     }
     void finish(const std::string& host, Millis ran = Millis(1000)) {
-        m_health.noteEnd({host, "other", RunEnd::DONE, ran}, m_now);
+        m_health.recordRunEnd({host, "other", RunEnd::DONE, ran}, m_now);
     }
     bool isSuspect(const std::string& host) const { return m_health.isSuspect(host, m_now); }
     bool isAvoided(const std::string& host) const { return m_health.isAvoided(host, m_now); }
@@ -24,7 +24,7 @@
 
 class AHostOnWhichRunsStoodStill : public WorkerHealthTest {
 protected:
-    void SetUp() override { m_health.noteStalled("h", m_now); }
+    void SetUp() override { m_health.recordStalled("h", m_now); }
 };
 
 TEST_F(AHostOnWhichRunsStoodStill, IsSuspect) {
@@ -35,15 +35,15 @@
 
 TEST_F(AHostOnWhichRunsStoodStill, IsNotAvoidedForManyRunsThatStoodForOneCause) {
     m_now += Millis(10);
-    m_health.noteStalled("h", m_now);
-    m_health.noteStalled("h", m_now);
+    m_health.recordStalled("h", m_now);
+    m_health.recordStalled("h", m_now);
     EXPECT_FALSE(isAvoided("h"));
 }
 
 TEST_F(AHostOnWhichRunsStoodStill, IsSuspectAgainWhenRunsStandStillMuchLater) {
     m_now += 4 * m_settings.m_halfLife;
     EXPECT_FALSE(isSuspect("h"));
-    m_health.noteStalled("h", m_now);
+    m_health.recordStalled("h", m_now);
     EXPECT_TRUE(isSuspect("h"));
 }
 
@@ -54,14 +54,14 @@
 
 TEST_F(AHostOnWhichRunsStoodStill, IsNoLongerSuspectOnceARunAdvancesThere) {
     m_now += Millis(2000);
-    m_health.noteAdvanced("h", m_now);
+    m_health.recordAdvanced("h", m_now);
     EXPECT_FALSE(isSuspect("h"));
     EXPECT_FALSE(m_health.getStalledAt("h").has_value());
 }
 
 TEST_F(AHostOnWhichRunsStoodStill, IsStillBlamedForFailuresWhenARunAdvancesThere) {
     fail("h", "job-1");
-    m_health.noteAdvanced("h", m_now);
+    m_health.recordAdvanced("h", m_now);
     EXPECT_TRUE(isSuspect("h"));
 }
 
--- a/libs/daemon/include/pierbank/daemon/Sidecar.h
+++ b/libs/daemon/include/pierbank/daemon/Sidecar.h
@@ -44,7 +44,8 @@
     bool start(Reason& reason);
 
 private:
-    void handleBeat(const HttpServerRequest& request, const std::shared_ptr<HttpServerCall>& call);
+    void handleHeartbeat(const HttpServerRequest& request,
+                         const std::shared_ptr<HttpServerCall>& call);
 
     Transport& m_transport;
     const DocumentCodec& m_codec;
--- a/libs/daemon/src/GatewaySettings.cpp
+++ b/libs/daemon/src/GatewaySettings.cpp
@@ -41,7 +41,7 @@
 }
 
 /** What the host gives decides who leads; without it all gateways are taken for alike. */
-void readHost(SettingsFile& file, LeadershipBidSettings& bid) {
+void readHost(SettingsFile& file, LeadershipCandidacySettings& bid) {
     constexpr double LEAST_SHARE = 0.001;
     constexpr double MOST_SHARE = 1024;
     constexpr double MOST_MBPS = 1'000'000;
@@ -89,8 +89,8 @@
     planner.m_settleTime =
             file.getDuration({"planner", "settle-time"}, planner.m_settleTime, Millis(0), MOST);
     constexpr Millis DAY{86'400'000};
-    planner.m_starvationLeast = file.getDuration({"planner", "starvation-bound"},
-                                                 planner.m_starvationLeast, Millis(1000), DAY);
+    planner.m_minStarvationWait = file.getDuration({"planner", "starvation-bound"},
+                                                   planner.m_minStarvationWait, Millis(1000), DAY);
     planner.m_fragmentationWeight = static_cast<std::uint32_t>(
             file.getNumber({"planner", "fragmentation-weight"}, 0, 0, 100));
 }
@@ -103,7 +103,7 @@
     EvacuationFeedSettings& feed = jobs.m_evacuations;
     feed.m_bound = file.getDuration({"evacuations", "bound"}, feed.m_bound, LEAST_BOUND, MOST);
     feed.m_interval = std::min(feed.m_interval, scale(feed.m_bound, READ_SHARE));
-    jobs.m_beginPatience = std::min(jobs.m_beginPatience, scale(feed.m_bound, BEGIN_SHARE));
+    jobs.m_startTimeout = std::min(jobs.m_startTimeout, scale(feed.m_bound, BEGIN_SHARE));
 }
 
 /**
@@ -112,19 +112,19 @@
  */
 void readSwitches(SettingsFile& file, JobCoreSettings& core) {
     auto& planner = core.m_jobs.m_planner;
-    planner.m_barsHosts = file.getSwitch({"switches", "bars-hosts"}, true);
-    planner.m_movesOffLeaving = file.getSwitch({"switches", "moves-off-leaving"}, true);
+    planner.m_excludesFailedHosts = file.getSwitch({"switches", "bars-hosts"}, true);
+    planner.m_migratesOffLeaving = file.getSwitch({"switches", "moves-off-leaving"}, true);
     planner.m_copies = file.getSwitch({"switches", "copies"}, true);
     if (!file.getSwitch({"switches", "waits-for-ends"}, true)) {
         planner.m_waitShare = 0;
     }
     if (!file.getSwitch({"switches", "claims"}, true)) {
-        planner.m_maxClaims = 0;
+        planner.m_maxReservations = 0;
     }
-    core.m_jobs.m_keepsRoom = file.getSwitch({"switches", "keeps-room"}, true);
-    core.m_jobs.m_judgesHosts = file.getSwitch({"switches", "judges-hosts"}, true);
+    core.m_jobs.m_reservesHeadroom = file.getSwitch({"switches", "keeps-room"}, true);
+    core.m_jobs.m_scoresHosts = file.getSwitch({"switches", "judges-hosts"}, true);
     core.m_jobs.m_learnsSpeeds = file.getSwitch({"switches", "learns-speeds"}, true);
-    core.m_jobs.m_seesStalls = file.getSwitch({"switches", "sees-stalls"}, true);
+    core.m_jobs.m_detectsStalls = file.getSwitch({"switches", "sees-stalls"}, true);
     core.m_intake.m_hedges = file.getSwitch({"switches", "hedges"}, true);
     core.m_intake.m_relays = file.getSwitch({"switches", "relays"}, true);
 }
--- a/libs/daemon/src/Sidecar.cpp
+++ b/libs/daemon/src/Sidecar.cpp
@@ -16,10 +16,10 @@
           m_codec(codec),
           m_settings(std::move(settings)),
           m_agent(loop, worker, m_settings.m_agent),
-          m_registration(store, loop, [this] { return m_agent.isLed(); }),
+          m_registration(store, loop, [this] { return m_agent.hasLeader(); }),
           m_beats([this](const HttpServerRequest& request,
                          const std::shared_ptr<HttpServerCall>& call) {
-              handleBeat(request, call);
+              handleHeartbeat(request, call);
           }) {}
 
 bool Sidecar::start(Reason& reason) {
@@ -38,8 +38,8 @@
     return true;
 }
 
-void Sidecar::handleBeat(const HttpServerRequest& request,
-                         const std::shared_ptr<HttpServerCall>& call) {
+void Sidecar::handleHeartbeat(const HttpServerRequest& request,
+                              const std::shared_ptr<HttpServerCall>& call) {
     const std::string id = request.m_target.substr(request.m_target.rfind('/') + 1);
     HttpServerAnswer answer;
     if (request.m_method == "DELETE") {
@@ -48,14 +48,14 @@
         return;
     }
     Findings findings;
-    const auto beat = m_codec.readBeat(id, request.m_body, findings);
-    if (!beat.has_value()) {
+    const auto heartbeat = m_codec.readBeat(id, request.m_body, findings);
+    if (!heartbeat.has_value()) {
         noteUnreadable("sidecar", "bad-beat", {{"id", id}, {"findings", findings.toText()}});
         answer.m_status = HTTP_BAD_REQUEST;
         call->answer(answer);
         return;
     }
-    m_agent.handleBeat(*beat);
+    m_agent.handleHeartbeat(*heartbeat);
     answer.m_headers = {{"Content-Type", "application/json"}};
     answer.m_body = "{}";
     call->answer(answer);
--- a/libs/daemon/src/SidecarSettings.cpp
+++ b/libs/daemon/src/SidecarSettings.cpp
@@ -20,8 +20,8 @@
     settings.m_store = file.getAddress({"store", "address"});
     constexpr Millis LEAST{100};
     constexpr Millis MOST{60'000};
-    settings.m_agent.m_askInterval = file.getDuration({"sidecar", "ask-interval"},
-                                                      settings.m_agent.m_askInterval, LEAST, MOST);
+    settings.m_agent.m_requestInterval = file.getDuration(
+            {"sidecar", "ask-interval"}, settings.m_agent.m_requestInterval, LEAST, MOST);
     file.reportUnknownKeys();
     return settings;
 }
--- a/libs/daemon/test/GatewaySettingsTest.cpp
+++ b/libs/daemon/test/GatewaySettingsTest.cpp
@@ -32,16 +32,16 @@
 TEST_F(GatewaySettingsTest, HaveEveryMechanismOnByDefault) {
     const GatewaySettings settings = read("");
     EXPECT_TRUE(m_findings.isEmpty()) << m_findings.toText();
-    EXPECT_TRUE(settings.m_core.m_jobs.m_keepsRoom);
-    EXPECT_TRUE(settings.m_core.m_jobs.m_planner.m_barsHosts);
+    EXPECT_TRUE(settings.m_core.m_jobs.m_reservesHeadroom);
+    EXPECT_TRUE(settings.m_core.m_jobs.m_planner.m_excludesFailedHosts);
     EXPECT_TRUE(settings.m_core.m_intake.m_hedges);
 }
 
 TEST_F(GatewaySettingsTest, SwitchMechanismsOff) {
     const GatewaySettings settings = read("[switches]\nkeeps-room=off\nclaims=off\n");
     EXPECT_TRUE(m_findings.isEmpty()) << m_findings.toText();
-    EXPECT_FALSE(settings.m_core.m_jobs.m_keepsRoom);
-    EXPECT_EQ(settings.m_core.m_jobs.m_planner.m_maxClaims, 0U);
+    EXPECT_FALSE(settings.m_core.m_jobs.m_reservesHeadroom);
+    EXPECT_EQ(settings.m_core.m_jobs.m_planner.m_maxReservations, 0U);
 }
 
 TEST_F(GatewaySettingsTest, TakeTheBoundOfEvacuationsFromTheSheetAndReadOftenEnoughForIt) {
@@ -49,14 +49,14 @@
     EXPECT_TRUE(m_findings.isEmpty()) << m_findings.toText();
     EXPECT_EQ(settings.m_core.m_jobs.m_evacuations.m_bound, Millis(2000));
     EXPECT_EQ(settings.m_core.m_jobs.m_evacuations.m_interval, Millis(200));
-    EXPECT_EQ(settings.m_core.m_jobs.m_beginPatience, Millis(400));
+    EXPECT_EQ(settings.m_core.m_jobs.m_startTimeout, Millis(400));
     EXPECT_EQ(read("").m_core.m_jobs.m_evacuations.m_interval, Millis(500));
     read("[evacuations]\nbound=5\n");
     EXPECT_NE(m_findings.toText().find("bound"), std::string::npos);
 }
 
 TEST_F(GatewaySettingsTest, TakeWhatTheHostGivesAndAllForAlikeWithoutIt) {
-    const LeadershipBidSettings bid =
+    const LeadershipCandidacySettings bid =
             read("[host]\nprocessor-share=0.12\nlink-mbps=20\n").m_core.m_bid;
     EXPECT_TRUE(m_findings.isEmpty()) << m_findings.toText();
     EXPECT_DOUBLE_EQ(bid.m_processorShare, 0.12);
--- a/libs/job/include/pierbank/job/JobRun.h
+++ b/libs/job/include/pierbank/job/JobRun.h
@@ -67,7 +67,7 @@
     /** Runs that were lost with their workers. */
     RunLosses m_losses;
 
-    bool holdsWorker() const noexcept {
+    bool occupiesWorker() const noexcept {
         return m_state == TaskState::PLACED || m_state == TaskState::STOPPING;
     }
 };
@@ -100,7 +100,7 @@
 };
 
 /** One run that holds a worker: a task's own, or a copy. */
-struct HeldRun {
+struct ActiveRun {
     TaskKey m_task;
     std::uint32_t m_run = 0;
     WorkerId m_worker;
@@ -125,19 +125,19 @@
     STOPPED,
     LAPSED,
     /** Another member of the gang ended. */
-    BROKEN,
+    GANG_BROKEN,
     /** The other members did not come in time. */
-    ALONE,
+    GANG_INCOMPLETE,
 };
 
 constexpr RunEnd lastOf(RunEnd) {
-    return RunEnd::ALONE;
+    return RunEnd::GANG_INCOMPLETE;
 }
 
 std::string_view toText(RunEnd end);
 
 /** One decision about a job, or what it met. */
-struct JobNote {
+struct JobEvent {
     /** Wall time. */
     Millis m_at{0};
     std::string m_text;
@@ -151,22 +151,22 @@
     /** Jobs with times are not counted as pending. */
     bool m_isTimed = false;
     /** A task has been placed at some time. */
-    bool m_hasBegun = false;
+    bool m_hasStarted = false;
     /** Wall time at which the phase became final; zero before. */
     Millis m_endedAt{0};
     /** Occurrences that are due and not done; those done are dropped but counted. */
     std::vector<OccurrenceRun> m_occurrences;
     std::uint32_t m_startedOccurrences = 0;
     /** Why it stands where it stands; what `why job` prints. */
-    std::string m_why;
-    /** The last decisions, the newest at the end; at most MAX_NOTES. */
-    std::vector<JobNote> m_history;
-    static constexpr std::size_t MAX_NOTES = 6;
+    std::string m_explanation;
+    /** The last decisions, the newest at the end; at most MAX_EVENTS. */
+    std::vector<JobEvent> m_history;
+    static constexpr std::size_t MAX_EVENTS = 6;
 
     /** Sets the reason, and remembers it. */
     void explain(std::string text, Millis wallNow);
 
-    bool isOver() const noexcept { return m_phase > JobPhase::RUNNING; }
+    bool isFinished() const noexcept { return m_phase > JobPhase::RUNNING; }
     /** Nothing of it holds a worker. */
     bool isIdle() const noexcept;
     TaskRun* findTask(const TaskKey& key);
@@ -174,7 +174,7 @@
     OccurrenceRun* findOccurrence(std::uint32_t number);
     const OccurrenceRun* findOccurrence(std::uint32_t number) const;
     /** The run with this number, if it holds a worker. */
-    std::optional<HeldRun> findHeldRun(const TaskKey& key, std::uint32_t run) const;
+    std::optional<ActiveRun> findActiveRun(const TaskKey& key, std::uint32_t run) const;
 };
 
 /** Calls `function(key, task)` for each task; `Run` is JobRun or const JobRun. */
@@ -191,14 +191,14 @@
 }
 
 /** All runs of a job that hold workers, copies included. */
-std::vector<HeldRun> listHeldRuns(const std::string& id, const JobRun& run);
+std::vector<ActiveRun> listActiveRuns(const std::string& id, const JobRun& run);
 
 /** Those of them on one host, whatever the worker's life. */
-std::vector<HeldRun> listHeldRunsOn(std::string_view host, const std::string& id,
-                                    const JobRun& run);
+std::vector<ActiveRun> listActiveRunsOn(std::string_view host, const std::string& id,
+                                        const JobRun& run);
 
 /** Hosts on which a task stood still, of steps in which none failed; they name what `run` holds. */
-std::vector<std::string_view> listStandingHosts(const JobRun& run);
+std::vector<std::string_view> listStalledHosts(const JobRun& run);
 
 /** The number of the next run of a task; members of a gang share one. */
 std::uint32_t getNextRun(const JobRecord& record, const JobRun& run, const TaskKey& key);
@@ -211,7 +211,7 @@
 std::uint32_t applyCopy(JobRun& run, const TaskKey& key, const WorkerId& worker, Millis wallNow);
 
 /** A run turns out to be on another life of its worker. */
-void moveRun(JobRun& run, const HeldRun& held, const WorkerId& worker);
+void rebindRun(JobRun& run, const ActiveRun& held, const WorkerId& worker);
 
 /**
  * A run that nothing was held for any more turns out to go on: a start was carried out late, by the
@@ -219,10 +219,10 @@
  * started again before its end is known. Not for gangs, whose runs are held whole or not at all.
  * @return whether it is held now.
  */
-bool holdStray(const JobRecord& record, JobRun& run, const HeldRun& stray);
+bool trackOrphanedRun(const JobRecord& record, JobRun& run, const ActiveRun& stray);
 
 /** A run is being stopped from now on. */
-void markStopping(JobRun& run, const HeldRun& held);
+void markStopping(JobRun& run, const ActiveRun& held);
 
 /** Makes the run of a job that was just accepted. */
 JobRun makeJobRun(const JobRecord& record);
@@ -243,7 +243,7 @@
     /** The job was not over before. */
     bool m_endsJob = false;
     /** Runs that have to be stopped: a gang's other members, copies, all of a failed job. */
-    std::vector<HeldRun> m_toStop;
+    std::vector<ActiveRun> m_toStop;
 };
 
 /** Takes the end of a run into account, and moves the job on when that was its last. */
@@ -270,10 +270,10 @@
                           std::uint32_t number, Millis wallNow);
 
 /** Ends a job one of whose tasks is known to crash workers; the reason names them. */
-EndEffect giveUpIfProved(JobRun& run, const TaskKey& key, Millis wallNow);
+EndEffect failIfProvenFaulty(JobRun& run, const TaskKey& key, Millis wallNow);
 
 /** Withdraws a job. @return the runs that have to be stopped. */
-std::vector<HeldRun> applyCancel(const std::string& id, JobRun& run, Millis wallNow);
+std::vector<ActiveRun> applyCancel(const std::string& id, JobRun& run, Millis wallNow);
 
 }  // namespace pierbank
 
--- a/libs/job/include/pierbank/job/JobSpec.h
+++ b/libs/job/include/pierbank/job/JobSpec.h
@@ -41,7 +41,7 @@
 };
 
 /** Of each kind the larger amount. */
-inline Resources takeMost(const Resources& a, const Resources& b) noexcept {
+inline Resources componentMax(const Resources& a, const Resources& b) noexcept {
     return {std::max(a.m_cpuMillis, b.m_cpuMillis), std::max(a.m_memoryMb, b.m_memoryMb),
             std::max(a.m_accelerators, b.m_accelerators)};
 }
@@ -61,7 +61,7 @@
     /** The part of the topology that should hold the whole gang. */
     Adjacency m_adjacency = Adjacency::REGION;
     /** The gang also runs on several such parts, several times slower. */
-    bool m_mayGoFar = false;
+    bool m_allowsRemote = false;
     /** Label that the worker must have; empty for any. */
     std::string m_requiredLabel;
     /** Rack with the data, elsewhere the work is several times slower; empty for any. */
@@ -71,18 +71,18 @@
     /** Runs until the job is withdrawn; started again however a run ends. */
     bool m_isLasting = false;
     /** Copies of a task may run side by side; the first to end counts. */
-    bool m_mayCopy = false;
+    bool m_isSpeculative = false;
     /** What the tasks run; tasks of one image behave alike. Empty for none. */
     std::string m_image;
     /** A lasting task serves users: the tail of their answer times stays below this; zero: none. */
-    Millis m_targetTail{0};
+    Millis m_latencyTarget{0};
     /** Its tasks take only the processor time that others on the worker leave. */
     bool m_isFilling = false;
     /** Most tasks of a lasting step that may be away by the scheduler's doing; zero: no promise. */
-    std::uint32_t m_mayMiss = 0;
+    std::uint32_t m_maxUnavailable = 0;
 
     /** What a task takes of a worker's room. */
-    Resources getRoomNeed() const noexcept {
+    Resources getCapacityDemand() const noexcept {
         return m_isFilling ? Resources{0, m_need.m_memoryMb, m_need.m_accelerators} : m_need;
     }
 };
--- a/libs/job/include/pierbank/job/RunLosses.h
+++ b/libs/job/include/pierbank/job/RunLosses.h
@@ -15,30 +15,30 @@
 namespace pierbank {
 
 /** What is known of how a run was lost with its worker. */
-enum class LossVerdict : std::uint8_t {
+enum class LossCategory : std::uint8_t {
     /** Its lease lapsed, and its worker has not been heard of since: a cut, a pause or a crash. */
-    OPEN,
+    UNRESOLVED,
     /** The whole host went, sidecar and all, which tells little of the task. */
     HOST_LOST,
     /** Its worker crashed, and another run there had begun just before. */
-    BESIDE,
+    BYSTANDER,
     /** Its worker crashed, and it is one of those that may have done it. */
     SUSPECT,
     /** Its worker crashed, and nothing of any other job had begun there. */
-    ALONE,
+    SOLE_SUSPECT,
 };
 
-constexpr LossVerdict lastOf(LossVerdict) {
-    return LossVerdict::ALONE;
+constexpr LossCategory lastOf(LossCategory) {
+    return LossCategory::SOLE_SUSPECT;
 }
 
-std::string_view toText(LossVerdict verdict);
+std::string_view toText(LossCategory category);
 
 /** A run that was lost with its worker. */
 struct RunLoss {
     WorkerId m_worker;
     std::uint32_t m_run = 0;
-    LossVerdict m_verdict = LossVerdict::OPEN;
+    LossCategory m_category = LossCategory::UNRESOLVED;
     /** From its start until its worker did not answer any more, as far as it is known. */
     Millis m_ran{0};
     bool operator==(const RunLoss&) const = default;
@@ -60,7 +60,7 @@
  * all.
  * @return a verdict for each run, in their order.
  */
-std::vector<LossVerdict> judgeCrash(std::span<const CrashedRun> runs);
+std::vector<LossCategory> classifyCrash(std::span<const CrashedRun> runs);
 
 /**
  * The runs of one task that were lost with their workers. It lies in the job's record, since what a
@@ -76,26 +76,26 @@
 class RunLosses {
 public:
     /** Adds a loss, or what has become known of one. @return whether that is news. */
-    bool note(const RunLoss& loss);
+    bool record(const RunLoss& loss);
     /** That life of a worker goes on, or never began the run: an open loss was none. */
-    bool forgetOpen(const WorkerId& worker);
+    bool discardUnresolved(const WorkerId& worker);
     /** A run of the task went on for so long that its earlier crashes were not its doing. */
-    bool isRefutedBy(Millis age) const;
+    bool isRefutedByRunTime(Millis age) const;
     void clear();
     /** That run surely never began, so that it is none of the starts that are left. */
-    void noteNotBegun(std::uint32_t run);
+    void recordNeverStarted(std::uint32_t run);
 
     bool isEmpty() const noexcept { return m_list.empty(); }
     /** It may crash the next worker: nothing else should have to be there. */
     bool isSuspect() const;
     /** Several workers crashed under it: one more, and it may be given up. */
-    bool isSeries() const;
+    bool hasRepeatedCrashes() const;
     /** Its worker crashed there: the next run tells more, and may do better, elsewhere. */
     bool hasCrashedOn(std::string_view host) const;
     /** A run of a suspect that is not older than the ones that were lost. */
     bool isRisk(Millis age) const;
     /** It is known well enough that the task crashes workers. */
-    bool isProof() const;
+    bool provesTaskFault() const;
     /**
      * The starts are used up that the users' rule leaves after the third crash, however they ended.
      * @param lastRun number of the task's last run; runs count up with each order to start it.
@@ -103,7 +103,7 @@
      */
     bool isExhausted(std::uint32_t lastRun, bool withOpen) const;
     /** Not started before it is known how the open losses came about. */
-    bool mustWait(std::uint32_t lastRun) const;
+    bool mustAwaitResolution(std::uint32_t lastRun) const;
     /** The evidence: lives and hosts, for people. */
     std::string describe() const;
 
@@ -111,7 +111,7 @@
     /** What the record holds; only its codec writes it. */
     std::vector<RunLoss> m_list;
     /** Runs after the first loss that never began, the latest at the end; for the codec too. */
-    std::vector<std::uint32_t> m_notBegun;
+    std::vector<std::uint32_t> m_neverStarted;
 
 private:
     bool isCrash(const RunLoss& loss, bool withOpen) const;
--- a/libs/job/include/pierbank/job/TaskPlanner.h
+++ b/libs/job/include/pierbank/job/TaskPlanner.h
@@ -17,7 +17,7 @@
 namespace pierbank {
 
 /** A worker as the planner sees it. */
-struct WorkerView {
+struct WorkerSnapshot {
     WorkerId m_id;
     std::string m_service;
     std::string m_failureDomain;
@@ -25,7 +25,7 @@
     std::set<std::string, std::less<>> m_labels;
     Resources m_capacity;
     /** What it had before its room shrank, and may have again; less than m_capacity for unknown. */
-    Resources m_wholeCapacity;
+    Resources m_fullCapacity;
     /** New runs may be placed on it. */
     bool m_acceptsWork = false;
     /** It leaves, in this time at the earliest, and what runs there dies; empty: it stays. */
@@ -55,11 +55,11 @@
     /** Work away from its data, or a gang over several racks, takes so many times as long. */
     double m_farFactor = 3.0;
     /** Work that misses its objective by so many times its length earns nothing (users' rule). */
-    std::int64_t m_hopelessAfter = 2;
+    std::int64_t m_hopelessFactor = 2;
     /** Urgent work beyond its organisation's guarantee preempts only while that throws away at most
      * so many core-seconds, and so many times its own work more. */
-    double m_lossAllowance = 100.0;
-    double m_lossPerOwnWork = 0.7;
+    double m_maxWastedWork = 100.0;
+    double m_maxWastePerOwnWork = 0.7;
     /** Urgent work waits for running work to end before it preempts: up to this share of its own
      * declared time, and at most `m_maxWait` since it was handed in. */
     double m_waitShare = 0.35;
@@ -70,26 +70,26 @@
      * are far above what waits on a deployment with room (MEASUREMENTS.md).
      */
     std::int64_t m_starvationFactor = 10;
-    Millis m_starvationLeast{60'000};
+    Millis m_minStarvationWait{60'000};
     /** Starved units that have claims at a time; each keeps workers idle. */
-    std::size_t m_maxClaims = 2;
+    std::size_t m_maxReservations = 2;
     /** 0 to 100: how far large units go before small ones that are due sooner. */
     std::uint32_t m_fragmentationWeight = 0;
     /** A task that may be copied is, when it would take so many times its declared time longer. */
     double m_copyFactor = 1.5;
     /**
      * Accelerators by service that only urgent work gets, those that it has included; whole workers
-     * are kept. At most `m_mostReserved` of a service's.
+     * are kept. At most `m_maxHeadroomShare` of a service's.
      */
-    std::map<std::string, std::uint32_t> m_urgentReserve;
-    double m_mostReserved = 0.25;
+    std::map<std::string, std::uint32_t> m_urgentHeadroom;
+    double m_maxHeadroomShare = 0.25;
     /**
      * While a service's workers are hardly half in use, a unit that waited so long gets reserved
      * workers too, if its job has nothing running: no job may have nothing for 3 s beside room that
      * stands idle (users' rule).
      */
-    Millis m_reserveYields{1800};
-    double m_hardlyHalf = 0.55;
+    Millis m_headroomReleaseWait{1800};
+    double m_lowUtilization = 0.55;
     /**
      * What a worker that takes twice the time counts for in the choice of workers, in accelerators
      * of room left: urgent work looks for fast ones before it looks for little room left, other
@@ -104,9 +104,9 @@
      */
     double m_evictionSpeedWeight = 3.0;
     /** Units keep off hosts that failed them, and off suspect ones if a failure costs them much. */
-    bool m_barsHosts = true;
+    bool m_excludesFailedHosts = true;
     /** Work moves off workers that leave before it would end. */
-    bool m_movesOffLeaving = true;
+    bool m_migratesOffLeaving = true;
     /** Slow tasks that may be copied are. */
     bool m_copies = true;
     /** A stopped lasting task counts as away until it has run elsewhere for so long. */
@@ -123,11 +123,11 @@
 struct Stop {
     TaskKey m_task;
     std::uint32_t m_run = 0;
-    std::string m_why;
+    std::string m_explanation;
 };
 
 /** Why a unit of work was placed or waits. */
-struct PlanNote {
+struct PlanExplanation {
     enum class Kind {
         PLACED,
         WAITS,
@@ -141,7 +141,7 @@
 
 /** Why a unit of urgent work got no room at once; the first such unit of its job. */
 struct UrgentWait {
-    enum class For {
+    enum class Cause {
         /** Runs that are being stopped. */
         STOPS,
         /** Runs that are about to end by themselves. */
@@ -152,13 +152,13 @@
         WORKERS,
     };
     std::string_view m_job;
-    For m_for = For::WORKERS;
+    Cause m_cause = Cause::WORKERS;
     bool m_isGuaranteed = false;
     /** Core-seconds that give way, or would have to. */
     double m_loss = 0;
 };
 
-std::string_view toText(UrgentWait::For what);
+std::string_view toText(UrgentWait::Cause what);
 
 /** A task's place in its job, by a name that somebody else holds. */
 struct TaskRef {
@@ -184,14 +184,14 @@
 
 /** What a plan is made from. All of it must outlive the call. */
 struct PlanInput {
-    std::span<const WorkerView> m_workers;
+    std::span<const WorkerSnapshot> m_workers;
     std::span<const PlannedJob> m_jobs;
     const RunForecast& m_forecast;
     /** Accelerators that belong to each organisation for priority 0. */
     const std::map<std::string, std::uint32_t>& m_guarantees;
     Millis m_wallNow{0};
     /** Notes are made; they take longer than the plan when thousands of units wait. */
-    bool m_withReasons = true;
+    bool m_withExplanations = true;
     /** Others may be stopped for urgent work. Not while workers that may have room are unknown. */
     bool m_mayPreempt = true;
 };
@@ -203,7 +203,7 @@
     /** Runs that give way to others, or move off workers that leave. */
     std::vector<Stop> m_stops;
     /** Only if they were asked for. */
-    std::vector<PlanNote> m_notes;
+    std::vector<PlanExplanation> m_explanations;
     /** Urgent jobs that wait; they name jobs of the input. */
     std::vector<UrgentWait> m_urgentWaits;
     /** Units that found no place: time alone may change that. */
@@ -232,7 +232,7 @@
      * @param remaining time until running tasks end, as far as it is known.
      * @param guarantees accelerators that belong to each organisation for priority 0.
      */
-    TaskPlan plan(const std::vector<WorkerView>& workers, const std::vector<PlannedJob>& jobs,
+    TaskPlan plan(const std::vector<WorkerSnapshot>& workers, const std::vector<PlannedJob>& jobs,
                   const std::map<TaskKey, Millis>& remaining,
                   const std::map<std::string, std::uint32_t>& guarantees, Millis wallNow) const;
 
--- a/libs/job/include/pierbank/job/WorkerId.h
+++ b/libs/job/include/pierbank/job/WorkerId.h
@@ -11,8 +11,8 @@
 struct WorkerId {
     /** Address of the host's sidecar; it outlives the worker's lives. */
     std::string m_host;
-    /** WorkerLife::toText(). Records of earlier versions have the id alone. */
-    std::string m_life;
+    /** WorkerIncarnation::toText(). Records of earlier versions have the id alone. */
+    std::string m_incarnation;
     auto operator<=>(const WorkerId&) const = default;
 };
 
--- a/libs/job/src/FoundRuns.cpp
+++ b/libs/job/src/FoundRuns.cpp
@@ -4,7 +4,7 @@
 
 namespace pierbank {
 
-void moveRun(JobRun& run, const HeldRun& held, const WorkerId& worker) {
+void rebindRun(JobRun& run, const ActiveRun& held, const WorkerId& worker) {
     if (!held.m_isCopy) {
         run.findTask(held.m_task)->m_worker = worker;
         return;
@@ -17,11 +17,11 @@
     }
 }
 
-bool holdStray(const JobRecord& record, JobRun& run, const HeldRun& stray) {
+bool trackOrphanedRun(const JobRecord& record, JobRun& run, const ActiveRun& stray) {
     const TaskKey& key = stray.m_task;
     TaskRun* const task = run.findTask(key);
     const auto& steps = record.m_spec.m_steps;
-    const bool mayHold = task != nullptr && !run.isOver() && key.m_step < steps.size() &&
+    const bool mayHold = task != nullptr && !run.isFinished() && key.m_step < steps.size() &&
                          !steps[key.m_step].m_isGang && stray.m_run <= task->m_lastRun &&
                          task->m_state != TaskState::DONE;
     if (!mayHold) {
--- a/libs/job/src/JobCodec.cpp
+++ b/libs/job/src/JobCodec.cpp
@@ -24,9 +24,9 @@
 template <typename Archive>
 void describe(Archive& archive, StepSpec& value) {
     archive(value.m_tasks, value.m_need, value.m_estimate, value.m_after, value.m_savesProgress,
-            value.m_isGang, value.m_adjacency, value.m_mayGoFar, value.m_requiredLabel,
-            value.m_dataRack, value.m_maxPerWorker, value.m_isLasting, value.m_mayCopy,
-            value.m_image, value.m_targetTail, value.m_isFilling, value.m_mayMiss);
+            value.m_isGang, value.m_adjacency, value.m_allowsRemote, value.m_requiredLabel,
+            value.m_dataRack, value.m_maxPerWorker, value.m_isLasting, value.m_isSpeculative,
+            value.m_image, value.m_latencyTarget, value.m_isFilling, value.m_maxUnavailable);
 }
 
 template <typename Archive>
@@ -54,7 +54,7 @@
 
 template <typename Archive>
 void describe(Archive& archive, WorkerId& value) {
-    archive(value.m_host, value.m_life);
+    archive(value.m_host, value.m_incarnation);
 }
 
 /** A row a task, as leaders before wrote them. */
@@ -66,7 +66,7 @@
 
 template <typename Archive>
 void describe(Archive& archive, RunLoss& value) {
-    archive(value.m_worker, value.m_run, value.m_verdict, value.m_ran);
+    archive(value.m_worker, value.m_run, value.m_category, value.m_ran);
 }
 
 template <typename Archive>
@@ -82,7 +82,7 @@
     std::uint32_t m_failedRun = 0;
     std::string m_failedHosts;
     std::vector<RunLoss> m_losses;
-    std::vector<std::uint32_t> m_notBegun;
+    std::vector<std::uint32_t> m_neverStarted;
 };
 
 /** What is empty at the end is left out. */
@@ -92,8 +92,8 @@
     if (!value.m_losses.empty()) {
         archive(value.m_losses);
     }
-    if (!value.m_notBegun.empty()) {
-        archive(value.m_notBegun);
+    if (!value.m_neverStarted.empty()) {
+        archive(value.m_neverStarted);
     }
 }
 
@@ -107,7 +107,7 @@
     }
     // Runs that never began are noted beside losses only.
     if (fields > FIELDS_WITHOUT_LOSSES + 1) {
-        archive(value.m_notBegun);
+        archive(value.m_neverStarted);
     }
 }
 
@@ -164,7 +164,7 @@
         if (hasRare) {
             columns.m_rare.push_back({i, task.m_checkpoint, task.m_failures, task.m_failedRun,
                                       task.m_failedHosts.m_text, task.m_losses.m_list,
-                                      task.m_losses.m_notBegun});
+                                      task.m_losses.m_neverStarted});
         }
     }
     return columns;
@@ -202,7 +202,7 @@
         task.m_failedRun = rare.m_failedRun;
         task.m_failedHosts.m_text = rare.m_failedHosts;
         task.m_losses.m_list = rare.m_losses;
-        task.m_losses.m_notBegun = rare.m_notBegun;
+        task.m_losses.m_neverStarted = rare.m_neverStarted;
     }
     return true;
 }
@@ -234,14 +234,14 @@
 }
 
 template <typename Archive>
-void describe(Archive& archive, JobNote& value) {
+void describe(Archive& archive, JobEvent& value) {
     archive(value.m_at, value.m_text);
 }
 
 template <typename Archive>
 void describe(Archive& archive, JobRun& value) {
-    archive(value.m_phase, value.m_organisation, value.m_queue, value.m_isTimed, value.m_hasBegun,
-            value.m_endedAt, value.m_occurrences, value.m_startedOccurrences, value.m_why,
+    archive(value.m_phase, value.m_organisation, value.m_queue, value.m_isTimed, value.m_hasStarted,
+            value.m_endedAt, value.m_occurrences, value.m_startedOccurrences, value.m_explanation,
             value.m_history);
 }
 
--- a/libs/job/src/JobRun.cpp
+++ b/libs/job/src/JobRun.cpp
@@ -93,8 +93,9 @@
 }
 
 bool StepRun::isIdle() const noexcept {
-    return m_copies.empty() && std::none_of(m_tasks.begin(), m_tasks.end(),
-                                            [](const TaskRun& task) { return task.holdsWorker(); });
+    return m_copies.empty() &&
+           std::none_of(m_tasks.begin(), m_tasks.end(),
+                        [](const TaskRun& task) { return task.occupiesWorker(); });
 }
 
 bool StepRun::hasCopy(std::uint32_t index) const noexcept {
@@ -125,10 +126,10 @@
     if (isNew) {
         m_history.push_back({wallNow, text});
     }
-    if (m_history.size() > MAX_NOTES) {
+    if (m_history.size() > MAX_EVENTS) {
         m_history.erase(m_history.begin());
     }
-    m_why = std::move(text);
+    m_explanation = std::move(text);
 }
 
 bool JobRun::isIdle() const noexcept {
@@ -143,7 +144,7 @@
     return found == m_occurrences.end() ? nullptr : &*found;
 }
 
-std::vector<std::string_view> listStandingHosts(const JobRun& run) {
+std::vector<std::string_view> listStalledHosts(const JobRun& run) {
     std::vector<std::string_view> hosts;
     for (const OccurrenceRun& occurrence : run.m_occurrences) {
         for (const StepRun& step : occurrence.m_steps) {
--- a/libs/job/src/JobTransitions.cpp
+++ b/libs/job/src/JobTransitions.cpp
@@ -15,19 +15,19 @@
 }
 
 /** A task's own run as it holds its worker. */
-HeldRun makeHeld(const TaskKey& key, const TaskRun& task) {
+ActiveRun makeHeld(const TaskKey& key, const TaskRun& task) {
     return {key,  task.m_run, task.m_worker, task.m_placedAt, task.m_state == TaskState::STOPPING,
             false};
 }
 
-HeldRun makeHeld(const TaskKey& key, const TaskCopy& copy) {
+ActiveRun makeHeld(const TaskKey& key, const TaskCopy& copy) {
     return {key, copy.m_run, copy.m_worker, copy.m_placedAt, copy.m_isStopping, true};
 }
 
 /** Runs of a step that hold workers and are not being stopped, by a condition. */
 template <typename Condition>
-std::vector<HeldRun> listGoing(const StepRun& step, const TaskKey& any, Condition condition) {
-    std::vector<HeldRun> going;
+std::vector<ActiveRun> listGoing(const StepRun& step, const TaskKey& any, Condition condition) {
+    std::vector<ActiveRun> going;
     TaskKey key = any;
     for (std::uint32_t i = 0; i < step.m_tasks.size(); ++i) {
         key.m_index = i;
@@ -41,12 +41,12 @@
             going.push_back(makeHeld(key, copy));
         }
     }
-    std::erase_if(going, [&](const HeldRun& held) { return !condition(held); });
+    std::erase_if(going, [&](const ActiveRun& held) { return !condition(held); });
     return going;
 }
 
-void markAllStopping(JobRun& run, const std::vector<HeldRun>& held) {
-    for (const HeldRun& one : held) {
+void markAllStopping(JobRun& run, const std::vector<ActiveRun>& held) {
+    for (const ActiveRun& one : held) {
         markStopping(run, one);
     }
 }
@@ -65,15 +65,15 @@
                                        [](const OccurrenceRun& o) { return o.isDone(); });
     std::erase_if(run.m_occurrences,
                   [](const OccurrenceRun& o) { return o.isDone() && o.isIdle(); });
-    if (isAllDone && isAllStarted && !run.isOver()) {
+    if (isAllDone && isAllStarted && !run.isFinished()) {
         finish(run, JobPhase::SUCCEEDED, "every task has ended", wallNow);
     }
 }
 
 /** The job is over: what still has workers is stopped. */
-std::vector<HeldRun> stopAll(const std::string& id, JobRun& run) {
-    std::vector<HeldRun> toStop = listHeldRuns(id, run);
-    std::erase_if(toStop, [](const HeldRun& held) { return held.m_isStopping; });
+std::vector<ActiveRun> stopAll(const std::string& id, JobRun& run) {
+    std::vector<ActiveRun> toStop = listActiveRuns(id, run);
+    std::erase_if(toStop, [](const ActiveRun& held) { return held.m_isStopping; });
     markAllStopping(run, toStop);
     return toStop;
 }
@@ -81,7 +81,7 @@
 /** The task is done. What still runs of it is kept as copies that are being stopped. */
 void markDone(StepRun& step, std::uint32_t index) {
     TaskRun& task = step.m_tasks[index];
-    if (task.holdsWorker()) {
+    if (task.occupiesWorker()) {
         step.m_copies.push_back({index, task.m_run, task.m_worker, task.m_placedAt,
                                  task.m_state == TaskState::STOPPING});
         task.m_worker = WorkerId();
@@ -89,11 +89,11 @@
     task.m_state = TaskState::DONE;
 }
 
-std::vector<HeldRun> applyDone(const JobRecord& record, JobRun& run, const TaskKey& key,
-                               Millis wallNow) {
+std::vector<ActiveRun> applyDone(const JobRecord& record, JobRun& run, const TaskKey& key,
+                                 Millis wallNow) {
     const StepSpec& spec = record.m_spec.m_steps[key.m_step];
     StepRun& step = run.findOccurrence(key.m_occurrence)->m_steps[key.m_step];
-    std::vector<HeldRun> toStop;
+    std::vector<ActiveRun> toStop;
     if (spec.m_isGang) {
         // The other members end with it; their own ends may come later.
         for (TaskRun& member : step.m_tasks) {
@@ -102,7 +102,7 @@
     } else {
         markDone(step, key.m_index);
         toStop = listGoing(step, key,
-                           [&](const HeldRun& h) { return h.m_task.m_index == key.m_index; });
+                           [&](const ActiveRun& h) { return h.m_task.m_index == key.m_index; });
         markAllStopping(run, toStop);
     }
     finishIfDone(record, run, wallNow);
@@ -145,12 +145,12 @@
 
 }  // namespace
 
-std::optional<HeldRun> JobRun::findHeldRun(const TaskKey& key, std::uint32_t number) const {
+std::optional<ActiveRun> JobRun::findActiveRun(const TaskKey& key, std::uint32_t number) const {
     const TaskRun* const task = findTask(key);
     if (task == nullptr) {
         return std::nullopt;
     }
-    if (task->holdsWorker() && task->m_run == number) {
+    if (task->occupiesWorker() && task->m_run == number) {
         return makeHeld(key, *task);
     }
     for (const TaskCopy& copy : findOccurrence(key.m_occurrence)->m_steps[key.m_step].m_copies) {
@@ -165,14 +165,14 @@
 
 /** @param isWanted tells by the worker, before anything of the run is copied. */
 template <typename Condition>
-std::vector<HeldRun> listHeldBy(const std::string& id, const JobRun& run, Condition isWanted) {
-    std::vector<HeldRun> held;
+std::vector<ActiveRun> listHeldBy(const std::string& id, const JobRun& run, Condition isWanted) {
+    std::vector<ActiveRun> held;
     for (const OccurrenceRun& occurrence : run.m_occurrences) {
         for (std::uint32_t step = 0; step < occurrence.m_steps.size(); ++step) {
             const StepRun& stepRun = occurrence.m_steps[step];
             for (std::uint32_t i = 0; i < stepRun.m_tasks.size(); ++i) {
                 const TaskRun& task = stepRun.m_tasks[i];
-                if (task.holdsWorker() && isWanted(task.m_worker)) {
+                if (task.occupiesWorker() && isWanted(task.m_worker)) {
                     held.push_back(makeHeld({id, occurrence.m_number, step, i}, task));
                 }
             }
@@ -188,12 +188,12 @@
 
 }  // namespace
 
-std::vector<HeldRun> listHeldRuns(const std::string& id, const JobRun& run) {
+std::vector<ActiveRun> listActiveRuns(const std::string& id, const JobRun& run) {
     return listHeldBy(id, run, [](const WorkerId&) { return true; });
 }
 
-std::vector<HeldRun> listHeldRunsOn(std::string_view host, const std::string& id,
-                                    const JobRun& run) {
+std::vector<ActiveRun> listActiveRunsOn(std::string_view host, const std::string& id,
+                                        const JobRun& run) {
     return listHeldBy(id, run, [host](const WorkerId& worker) { return worker.m_host == host; });
 }
 
@@ -216,7 +216,7 @@
     task.m_lastRun = number;
     task.m_worker = worker;
     task.m_placedAt = wallNow;
-    run.m_hasBegun = true;
+    run.m_hasStarted = true;
     run.m_phase = JobPhase::RUNNING;
     run.explain("running: placed on " + worker.m_host, wallNow);
 }
@@ -230,7 +230,7 @@
     return task.m_lastRun;
 }
 
-void markStopping(JobRun& run, const HeldRun& held) {
+void markStopping(JobRun& run, const ActiveRun& held) {
     if (!held.m_isCopy) {
         run.findTask(held.m_task)->m_state = TaskState::STOPPING;
         return;
@@ -253,7 +253,7 @@
 }
 
 /** Counts a failed run. @return whether the job has failed by it. */
-bool countFailure(const JobRecord& record, JobRun& run, const HeldRun& failed, Millis wallNow) {
+bool countFailure(const JobRecord& record, JobRun& run, const ActiveRun& failed, Millis wallNow) {
     const TaskKey& key = failed.m_task;
     TaskRun& counted = getCounter(record, run, key);
     run.findTask(key)->m_failedHosts.add(failed.m_worker.m_host);
@@ -261,7 +261,7 @@
         counted.m_failedRun = failed.m_run;
         ++counted.m_failures;
     }
-    if (counted.m_failures < record.m_policy.m_attempts || run.isOver()) {
+    if (counted.m_failures < record.m_policy.m_attempts || run.isFinished()) {
         return false;
     }
     finish(run, JobPhase::FAILED,
@@ -274,7 +274,7 @@
 EndEffect takeEnd(const JobRecord& record, JobRun& run, const TaskKey& key, std::uint32_t number,
                   RunEnd end, std::string_view checkpoint, Millis wallNow) {
     EndEffect effect;
-    const auto held = run.findHeldRun(key, number);
+    const auto held = run.findActiveRun(key, number);
     if (!held.has_value()) {
         return effect;
     }
@@ -299,7 +299,7 @@
     }
     if (spec.m_isGang) {
         effect.m_toStop =
-                listGoing(step, key, [number](const HeldRun& h) { return h.m_run == number; });
+                listGoing(step, key, [number](const ActiveRun& h) { return h.m_run == number; });
         markAllStopping(run, effect.m_toStop);
     }
     return effect;
@@ -309,9 +309,9 @@
 
 EndEffect applyEnd(const JobRecord& record, JobRun& run, const TaskKey& key, std::uint32_t number,
                    RunEnd end, std::string_view checkpoint, Millis wallNow) {
-    const bool wasOver = run.isOver();
+    const bool wasOver = run.isFinished();
     EndEffect effect = takeEnd(record, run, key, number, end, checkpoint, wallNow);
-    effect.m_endsJob = !wasOver && run.isOver();
+    effect.m_endsJob = !wasOver && run.isFinished();
     return effect;
 }
 
@@ -321,7 +321,7 @@
     const TaskKey& key = late.m_task;
     const TaskRun* const task = run.findTask(key);
     const auto& steps = record.m_spec.m_steps;
-    const bool isCounted = end == RunEnd::FAILED && task != nullptr && !run.isOver() &&
+    const bool isCounted = end == RunEnd::FAILED && task != nullptr && !run.isFinished() &&
                            key.m_step < steps.size() && !steps[key.m_step].m_isLasting &&
                            task->m_state != TaskState::DONE && late.m_run <= task->m_lastRun;
     if (!isCounted) {
@@ -332,7 +332,7 @@
         // Counted before, or another one was since: which ones were is not kept.
         return effect;
     }
-    const HeldRun failed{key, late.m_run, late.m_worker, Millis(0), false, false};
+    const ActiveRun failed{key, late.m_run, late.m_worker, Millis(0), false, false};
     effect.m_isCurrent = true;
     effect.m_endsJob = countFailure(record, run, failed, wallNow);
     if (effect.m_endsJob) {
@@ -346,16 +346,16 @@
     return applyEnd(record, run, key, number, RunEnd::LAPSED, "", wallNow);
 }
 
-EndEffect giveUpIfProved(JobRun& run, const TaskKey& key, Millis wallNow) {
+EndEffect failIfProvenFaulty(JobRun& run, const TaskKey& key, Millis wallNow) {
     EndEffect effect;
     const TaskRun* const task = run.findTask(key);
-    if (task == nullptr || run.isOver()) {
+    if (task == nullptr || run.isFinished()) {
         return effect;
     }
     // A run that goes on may still refute what is known; the next start may not.
     const bool isExhausted = task->m_state == TaskState::WAITING &&
                              task->m_losses.isExhausted(task->m_lastRun, false);
-    if (!isExhausted && !task->m_losses.isProof()) {
+    if (!isExhausted && !task->m_losses.provesTaskFault()) {
         return effect;
     }
     finish(run, JobPhase::FAILED,
@@ -368,8 +368,8 @@
     return effect;
 }
 
-std::vector<HeldRun> applyCancel(const std::string& id, JobRun& run, Millis wallNow) {
-    if (run.isOver()) {
+std::vector<ActiveRun> applyCancel(const std::string& id, JobRun& run, Millis wallNow) {
+    if (run.isFinished()) {
         return {};
     }
     finish(run, JobPhase::CANCELLED, "withdrawn by its caller", wallNow);
--- a/libs/job/src/Occurrences.cpp
+++ b/libs/job/src/Occurrences.cpp
@@ -27,7 +27,7 @@
     run.m_organisation = record.m_organisation;
     run.m_queue = record.m_policy.m_queue;
     run.m_isTimed = record.m_spec.isTimed();
-    run.m_why = "accepted; no decision yet";
+    run.m_explanation = "accepted; no decision yet";
     if (!run.m_isTimed) {
         run.m_occurrences.push_back(makeOccurrence(record.m_spec, 0));
         run.m_startedOccurrences = 1;
@@ -37,7 +37,7 @@
 
 std::optional<Millis> getNextDue(const JobRecord& record, const JobRun& run) {
     const JobSpec& spec = record.m_spec;
-    if (!spec.isTimed() || run.isOver() || run.m_startedOccurrences >= spec.m_occurrences) {
+    if (!spec.isTimed() || run.isFinished() || run.m_startedOccurrences >= spec.m_occurrences) {
         return std::nullopt;
     }
     return spec.m_firstDue + spec.m_interval * run.m_startedOccurrences;
--- a/libs/job/src/PlanningPass.cpp
+++ b/libs/job/src/PlanningPass.cpp
@@ -18,10 +18,11 @@
 }
 
 /** Numbers names in their order; an empty one is no part. */
-std::map<std::string_view, PartNumber> numberNames(std::span<const WorkerView> workers,
-                                                   std::string_view (*getName)(const WorkerView&)) {
+std::map<std::string_view, PartNumber> numberNames(
+        std::span<const WorkerSnapshot> workers,
+        std::string_view (*getName)(const WorkerSnapshot&)) {
     std::map<std::string_view, PartNumber> numbers;
-    for (const WorkerView& worker : workers) {
+    for (const WorkerSnapshot& worker : workers) {
         numbers.emplace(getName(worker), ANY_PART);
     }
     PartNumber next = 0;
@@ -40,7 +41,7 @@
 PlanningPass::PlanningPass(const TaskPlannerSettings& settings, const PlanInput& input)
         : m_settings(settings), m_input(input), m_wallNow(input.m_wallNow) {
     m_rooms.reserve(input.m_workers.size());
-    for (const WorkerView& worker : input.m_workers) {
+    for (const WorkerSnapshot& worker : input.m_workers) {
         m_slots.emplace(worker.m_id.m_host, m_rooms.size());
         if (worker.m_isSuspect) {
             m_suspects.push_back(m_rooms.size());
@@ -72,7 +73,7 @@
     if (m_settings.m_copies) {
         copySlowTasks();
     }
-    if (m_settings.m_movesOffLeaving) {
+    if (m_settings.m_migratesOffLeaving) {
         moveOffLeaving();
     }
     return std::move(m_plan);
@@ -80,11 +81,12 @@
 
 void PlanningPass::numberParts() {
     const auto workers = m_input.m_workers;
-    const auto hosts = numberNames(
-            workers, [](const WorkerView& worker) { return std::string_view(worker.m_id.m_host); });
+    const auto hosts = numberNames(workers, [](const WorkerSnapshot& worker) {
+        return std::string_view(worker.m_id.m_host);
+    });
     const auto racks = numberNames(
-            workers, [](const WorkerView& worker) { return std::string_view(worker.m_rack); });
-    const auto domains = numberNames(workers, [](const WorkerView& worker) {
+            workers, [](const WorkerSnapshot& worker) { return std::string_view(worker.m_rack); });
+    const auto domains = numberNames(workers, [](const WorkerSnapshot& worker) {
         return std::string_view(worker.m_failureDomain);
     });
     for (Room& room : m_rooms) {
@@ -101,7 +103,7 @@
     std::vector<std::size_t> urgent;
     for (std::size_t job = 0; job < m_input.m_jobs.size(); ++job) {
         const PlannedJob& planned = m_input.m_jobs[job];
-        if (planned.m_record->m_policy.m_priority == 0 && !planned.m_run->isOver()) {
+        if (planned.m_record->m_policy.m_priority == 0 && !planned.m_run->isFinished()) {
             urgent.push_back(job);
         }
     }
@@ -149,7 +151,7 @@
     occupant.m_isGuaranteed = m_guaranteed[job];
     for (std::uint32_t i = 0; i < run.m_tasks.size(); ++i) {
         const TaskRun& task = run.m_tasks[i];
-        if (task.holdsWorker()) {
+        if (task.occupiesWorker()) {
             occupant.m_index = i;
             occupant.m_run = task.m_run;
             occupant.m_placedAt = task.m_placedAt;
@@ -184,10 +186,10 @@
     }
     const StepSpec& spec = *run.m_spec;
     Room& room = m_rooms[*slot];
-    room.m_over += spec.getRoomNeed();
+    room.m_over += spec.getCapacityDemand();
     ++room.m_runs;
     if (isStopping) {
-        room.m_leaving += spec.getRoomNeed();
+        room.m_leaving += spec.getCapacityDemand();
         return;
     }
     Occupant& occupant = m_occupants.emplace_back(run);
@@ -215,7 +217,7 @@
 std::optional<WorkerSlot> PlanningPass::findSlot(const WorkerId& worker) const {
     const auto [begin, end] = m_slots.equal_range(worker.m_host);
     const auto found = std::find_if(begin, end, [&](const auto& entry) {
-        return m_rooms[entry.second].m_view->m_id.m_life == worker.m_life;
+        return m_rooms[entry.second].m_view->m_id.m_incarnation == worker.m_incarnation;
     });
     return found == end ? std::nullopt : std::optional(found->second);
 }
@@ -319,8 +321,8 @@
     }
     Roomless& roomless = m_roomless[getLikeness(unit)];
     roomless.m_members = unit.m_indexes.size();
-    if (m_input.m_withReasons) {
-        roomless.m_note = m_plan.m_notes.back();
+    if (m_input.m_withExplanations) {
+        roomless.m_note = m_plan.m_explanations.back();
     }
 }
 
@@ -334,13 +336,13 @@
         // What is being stopped will make room; nobody else gets it meanwhile.
         reserveLeaving(unit, *assignment);
         note(unit, "waits until work that is being stopped has ended");
-        noteUrgentWait(unit, UrgentWait::For::STOPS);
+        noteUrgentWait(unit, UrgentWait::Cause::STOPS);
         return true;
     }
     return unit.isUrgent() && (waitFor(unit) || preemptFor(unit));
 }
 
-void PlanningPass::noteUrgentWait(const WorkUnit& unit, UrgentWait::For what, double loss) {
+void PlanningPass::noteUrgentWait(const WorkUnit& unit, UrgentWait::Cause what, double loss) {
     const std::string_view job = unit.getRecord().m_id;
     auto& waits = m_plan.m_urgentWaits;
     if (unit.isUrgent() && (waits.empty() || waits.back().m_job != job)) {
@@ -356,7 +358,7 @@
     }
     for (std::size_t i = 0; i < assignment.size(); ++i) {
         Room& room = m_rooms[assignment[i]];
-        room.m_free -= unit.getSpec().getRoomNeed();
+        room.m_free -= unit.getSpec().getCapacityDemand();
         ++room.m_runs;
         room.m_isAtRisk = room.m_isAtRisk || unit.m_isSuspect;
         m_hasRisks = m_hasRisks || unit.m_isSuspect;
@@ -366,15 +368,15 @@
         }
     }
     m_begun[unit.m_of->m_job] = true;
-    if (m_input.m_withReasons) {
-        note(unit, PlanNote::Kind::PLACED,
+    if (m_input.m_withExplanations) {
+        note(unit, PlanExplanation::Kind::PLACED,
              "placed: room on " + m_rooms[assignment.front()].m_view->m_id.m_host);
     }
 }
 
-void PlanningPass::note(const WorkUnit& unit, PlanNote::Kind kind, std::string text) {
-    if (m_input.m_withReasons) {
-        m_plan.m_notes.push_back({unit.getRecord().m_id, kind, std::move(text)});
+void PlanningPass::note(const WorkUnit& unit, PlanExplanation::Kind kind, std::string text) {
+    if (m_input.m_withExplanations) {
+        m_plan.m_explanations.push_back({unit.getRecord().m_id, kind, std::move(text)});
     }
 }
 
--- a/libs/job/src/PlanningPass.h
+++ b/libs/job/src/PlanningPass.h
@@ -96,7 +96,7 @@
 private:
     /** Room of one worker during the pass. */
     struct Room {
-        const WorkerView* m_view = nullptr;
+        const WorkerSnapshot* m_view = nullptr;
         Resources m_free;
         /** What stops will free. */
         Resources m_leaving;
@@ -165,7 +165,7 @@
     /** Units of so many members, and larger ones, find no room. */
     struct Roomless {
         std::size_t m_members = 0;
-        PlanNote m_note;
+        PlanExplanation m_note;
     };
 
     // Set-up.
@@ -197,12 +197,12 @@
     void placeStep(const WaitingStep& step);
     void placeUnit(const WorkUnit& unit);
     void noteRoomless(const WorkUnit& unit);
-    void noteUrgentWait(const WorkUnit& unit, UrgentWait::For what, double loss = 0);
+    void noteUrgentWait(const WorkUnit& unit, UrgentWait::Cause what, double loss = 0);
     bool placeOrWait(const WorkUnit& unit);
     void commit(const WorkUnit& unit, const Assignment& assignment);
-    void note(const WorkUnit& unit, PlanNote::Kind kind, std::string text);
+    void note(const WorkUnit& unit, PlanExplanation::Kind kind, std::string text);
     void note(const WorkUnit& unit, std::string_view text) {
-        note(unit, PlanNote::Kind::WAITS, std::string(text));
+        note(unit, PlanExplanation::Kind::WAITS, std::string(text));
     }
 
     // Workers kept for urgent work, and those that a unit keeps off (PlanningPassHosts.cpp).
@@ -217,7 +217,7 @@
     bool isRisk(const WorkUnit& unit, WorkerSlot slot) const;
     bool couldHold(const WorkUnit& unit);
 
-    // Where a unit fits (PlanningPassRooms.cpp).
+    // Where a unit fits (PlanningPassCapacity.cpp).
     /** Rooms as they would be if a unit could use everything that `withLeaving` says. */
     std::vector<Resources> getRooms(const WorkUnit& unit, bool withLeaving) const;
     Resources getRoom(const WorkUnit& unit, WorkerSlot slot, bool withLeaving) const;
@@ -236,7 +236,7 @@
     bool isBarred(const WorkUnit& unit, WorkerSlot slot) const;
     bool isAllowed(const WorkUnit& unit, WorkerSlot slot) const;
     bool isOpenTo(const WorkUnit& unit, WorkerSlot slot) const;
-    bool mayGoFar(const WorkUnit& unit) const;
+    bool allowsRemote(const WorkUnit& unit) const;
     const StepCounts& countOfStep(const WorkUnit& unit);
     /** The part of the topology that has to hold the unit's members; ANY_PART for any. */
     PartNumber getPart(const WorkUnit& unit, WorkerSlot slot) const;
--- a/libs/job/src/PlanningPassRooms.cpp
+++ b/libs/job/src/PlanningPassCapacity.cpp
@@ -49,7 +49,7 @@
 }
 
 /** Far work pays only once waiting for a near worker has cost more than the longer run. */
-bool PlanningPass::mayGoFar(const WorkUnit& unit) const {
+bool PlanningPass::allowsRemote(const WorkUnit& unit) const {
     const auto estimate = static_cast<double>(unit.getSpec().m_estimate.count());
     const auto waited = static_cast<double>((m_wallNow - unit.m_of->m_since).count());
     return waited > (m_settings.m_farFactor - 1.0) * estimate;
@@ -115,8 +115,8 @@
         return near;
     }
     const StepSpec& spec = unit.getSpec();
-    const bool isBound = !spec.m_dataRack.empty() || (spec.m_mayGoFar && needsPart(unit));
-    return isBound && mayGoFar(unit) ? assignWithin(unit, rooms, ANY_PART) : std::nullopt;
+    const bool isBound = !spec.m_dataRack.empty() || (spec.m_allowsRemote && needsPart(unit));
+    return isBound && allowsRemote(unit) ? assignWithin(unit, rooms, ANY_PART) : std::nullopt;
 }
 
 /** In the part with the least room that holds the unit. */
@@ -155,7 +155,7 @@
         if (!slot.has_value()) {
             return std::nullopt;
         }
-        left[*slot] -= unit.getSpec().getRoomNeed();
+        left[*slot] -= unit.getSpec().getCapacityDemand();
         if (!used.empty()) {
             ++used[*slot];
         }
@@ -169,7 +169,7 @@
                                                    PartNumber part, const StepCounts& used,
                                                    GetRoom getRoom) const {
     const StepSpec& spec = unit.getSpec();
-    const Resources need = spec.getRoomNeed();
+    const Resources need = spec.getCapacityDemand();
     std::optional<WorkerSlot> best;
     double bestRate = std::numeric_limits<double>::max();
     for (const WorkerSlot slot : unit.m_of->m_eligible->m_slots) {
@@ -198,7 +198,7 @@
     constexpr double SPREAD = 20.0;
     constexpr std::size_t STEPS = 1024;
     const TaskRun& task = unit.getStep().m_tasks[index];
-    if (!task.m_losses.isSeries()) {
+    if (!task.m_losses.hasRepeatedCrashes()) {
         return 0.0;
     }
     std::string text = unit.getRecord().m_id;
@@ -215,8 +215,8 @@
     constexpr double FAILED_HERE = 1000.0;
     constexpr double RESERVED = 100.0;
     Resources left = room;
-    left -= unit.getSpec().getRoomNeed();
-    const WorkerView& worker = *m_rooms[slot].m_view;
+    left -= unit.getSpec().getCapacityDemand();
+    const WorkerSnapshot& worker = *m_rooms[slot].m_view;
     const TaskRun& task = unit.getStep().m_tasks[index];
     const bool hasFailedHere = task.m_failedHosts.contains(worker.m_id.m_host) ||
                                task.m_losses.hasCrashedOn(worker.m_id.m_host);
@@ -253,7 +253,7 @@
         }
     };
     for (const TaskRun& task : unit.getStep().m_tasks) {
-        if (task.holdsWorker()) {
+        if (task.occupiesWorker()) {
             count(task.m_worker);
         }
     }
--- a/libs/job/src/PlanningPassClaims.cpp
+++ b/libs/job/src/PlanningPassClaims.cpp
@@ -12,7 +12,7 @@
 }
 
 bool PlanningPass::isStarved(const WaitingStep& step) const {
-    const Millis bound = std::max(m_settings.m_starvationLeast,
+    const Millis bound = std::max(m_settings.m_minStarvationWait,
                                   step.m_spec->m_estimate * m_settings.m_starvationFactor);
     return m_wallNow - step.m_since >= bound;
 }
@@ -31,7 +31,7 @@
 
 /** Claims the workers that a starved unit could have first, when what runs there has ended. */
 void PlanningPass::claimFor(const WorkUnit& unit) {
-    if (unit.isUrgent() || m_claims >= m_settings.m_maxClaims || !isStarved(unit)) {
+    if (unit.isUrgent() || m_claims >= m_settings.m_maxReservations || !isStarved(unit)) {
         return;
     }
     std::vector<std::pair<Millis, const Occupant*>> ends;
@@ -59,7 +59,7 @@
         for (std::size_t i = 0; i < count; ++i) {
             const WorkerSlot slot = ends[i].second->m_slot;
             Resources& gone = over.try_emplace(slot, m_rooms[slot].m_over).first->second;
-            giveBack(rooms[slot], gone, ends[i].second->m_spec->getRoomNeed());
+            giveBack(rooms[slot], gone, ends[i].second->m_spec->getCapacityDemand());
         }
         return assign(unit, rooms);
     };
@@ -85,7 +85,7 @@
         m_rooms[slot].m_claimedIn = begins;
     }
     ++m_claims;
-    if (!m_input.m_withReasons) {
+    if (!m_input.m_withExplanations) {
         return;
     }
     note(unit, "waits: it is starved, so that workers are claimed for it, the first is " +
@@ -108,7 +108,7 @@
 void PlanningPass::copySlowTasks() {
     for (const Occupant& occupant : m_occupants) {
         const StepSpec& spec = *occupant.m_spec;
-        const bool mayCopy = spec.m_mayCopy && !spec.m_isGang && !spec.m_isLasting &&
+        const bool mayCopy = spec.m_isSpeculative && !spec.m_isGang && !spec.m_isLasting &&
                              !occupant.m_isCopy && !occupant.m_isPreempted &&
                              !occupant.m_step->hasCopy(occupant.m_index) &&
                              !occupant.m_step->m_tasks[occupant.m_index].m_losses.isSuspect();
@@ -135,7 +135,7 @@
         return;
     }
     Room& room = m_rooms[assignment->front()];
-    room.m_free -= unit.getSpec().getRoomNeed();
+    room.m_free -= unit.getSpec().getCapacityDemand();
     m_plan.m_copies.push_back({getKey(occupant), room.m_view->m_id});
 }
 
@@ -171,7 +171,7 @@
 bool PlanningPass::mustLeaveDomain(const Occupant& occupant) const {
     const StepSpec& spec = *occupant.m_spec;
     return m_rooms[occupant.m_slot].m_view->m_isEvacuated && spec.m_isLasting &&
-           countAway(occupant) < std::max(1U, spec.m_mayMiss);
+           countAway(occupant) < std::max(1U, spec.m_maxUnavailable);
 }
 
 void PlanningPass::moveOffLeaving() {
@@ -179,7 +179,7 @@
         if (!mustLeave(occupant)) {
             continue;
         }
-        const WorkerView& worker = *m_rooms[occupant.m_slot].m_view;
+        const WorkerSnapshot& worker = *m_rooms[occupant.m_slot].m_view;
         WaitingStep step = makeStepOf(occupant);
         step.m_indexes = {occupant.m_index};
         if (occupant.m_spec->m_isGang) {
--- a/libs/job/src/PlanningPassEviction.cpp
+++ b/libs/job/src/PlanningPassEviction.cpp
@@ -29,7 +29,8 @@
 
 bool PlanningPass::mayMiss(const Occupant& occupant) const {
     const StepSpec& spec = *occupant.m_spec;
-    return !spec.m_isLasting || spec.m_mayMiss == 0 || countAway(occupant) < spec.m_mayMiss;
+    return !spec.m_isLasting || spec.m_maxUnavailable == 0 ||
+           countAway(occupant) < spec.m_maxUnavailable;
 }
 
 /** Tasks of a lasting step that are not at work, or have not been for long. */
@@ -68,7 +69,7 @@
             const bool isTaken = occupant.m_isPreempted || occupant.m_isAwaited;
             const auto remaining = isTaken ? std::nullopt : getRemaining(occupant);
             if (remaining.has_value() && *remaining <= budget) {
-                giveBack(rooms[slot], over, occupant.m_spec->getRoomNeed());
+                giveBack(rooms[slot], over, occupant.m_spec->getCapacityDemand());
                 ending.push_back(i);
             }
         }
@@ -82,12 +83,12 @@
         if (std::find(assignment->begin(), assignment->end(), occupant.m_slot) !=
             assignment->end()) {
             occupant.m_isAwaited = true;
-            addLeaving(occupant.m_slot, occupant.m_spec->getRoomNeed());
+            addLeaving(occupant.m_slot, occupant.m_spec->getCapacityDemand());
         }
     }
     reserveLeaving(unit, *assignment);
     note(unit, "waits for work that is about to end");
-    noteUrgentWait(unit, UrgentWait::For::ENDS);
+    noteUrgentWait(unit, UrgentWait::Cause::ENDS);
     return true;
 }
 
@@ -95,7 +96,7 @@
  * way there. */
 bool PlanningPass::preemptFor(const WorkUnit& unit) {
     if (!m_input.m_mayPreempt) {
-        noteUrgentWait(unit, UrgentWait::For::WORKERS, 0.0);
+        noteUrgentWait(unit, UrgentWait::Cause::WORKERS, 0.0);
         return false;
     }
     std::optional<Eviction> best;
@@ -106,7 +107,7 @@
         }
     }
     if (!best.has_value() || !isWorth(unit, best->m_loss)) {
-        const auto what = best.has_value() ? UrgentWait::For::ROOM : UrgentWait::For::WORKERS;
+        const auto what = best.has_value() ? UrgentWait::Cause::ROOM : UrgentWait::Cause::WORKERS;
         noteUrgentWait(unit, what, best.has_value() ? best->m_loss / MILLIS_PER_SECOND : 0.0);
         return false;
     }
@@ -115,7 +116,7 @@
     }
     reserveLeaving(unit, best->m_assignment);
     note(unit, "waits until work that gives way to it has ended");
-    noteUrgentWait(unit, UrgentWait::For::STOPS, best->m_loss / MILLIS_PER_SECOND);
+    noteUrgentWait(unit, UrgentWait::Cause::STOPS, best->m_loss / MILLIS_PER_SECOND);
     return true;
 }
 
@@ -124,8 +125,8 @@
     const StepSpec& spec = unit.getSpec();
     const double own = getCores(spec.m_need) * static_cast<double>(unit.m_indexes.size()) *
                        static_cast<double>(spec.m_estimate.count());
-    return unit.m_of->m_isGuaranteed || loss <= m_settings.m_lossAllowance * MILLIS_PER_SECOND +
-                                                        m_settings.m_lossPerOwnWork * own;
+    return unit.m_of->m_isGuaranteed || loss <= m_settings.m_maxWastedWork * MILLIS_PER_SECOND +
+                                                        m_settings.m_maxWastePerOwnWork * own;
 }
 
 std::optional<PlanningPass::Eviction> PlanningPass::findEviction(const WorkUnit& unit,
@@ -179,7 +180,7 @@
         }
     }
     eviction.m_assignment.push_back(*best);
-    eviction.m_needed[*best] += spec.getRoomNeed();
+    eviction.m_needed[*best] += spec.getCapacityDemand();
     eviction.m_victimsOn[*best].reset();
     if (!eviction.m_used.empty()) {
         ++eviction.m_used[*best];
@@ -202,7 +203,7 @@
     if (!known.has_value()) {
         const auto needed = eviction.m_needed.find(slot);
         Resources need = needed == eviction.m_needed.end() ? Resources() : needed->second;
-        need += unit.getSpec().getRoomNeed();
+        need += unit.getSpec().getCapacityDemand();
         known = chooseVictims(unit, slot, need);
     }
     return *known;
@@ -221,7 +222,7 @@
             break;
         }
         if (mayPreempt(unit, m_occupants[candidate])) {
-            giveBack(room, over, m_occupants[candidate].m_spec->getRoomNeed());
+            giveBack(room, over, m_occupants[candidate].m_spec->getCapacityDemand());
             victims.push_back(candidate);
         }
     }
@@ -231,7 +232,7 @@
     // The dearest first: what later ones made needless stays.
     for (std::size_t i = victims.size(); i-- > 0;) {
         Resources without = room;
-        without -= m_occupants[victims[i]].m_spec->getRoomNeed();
+        without -= m_occupants[victims[i]].m_spec->getCapacityDemand();
         if (need.fitsInto(without)) {
             room = without;
             victims.erase(victims.begin() + static_cast<std::ptrdiff_t>(i));
@@ -270,7 +271,7 @@
             continue;
         }
         occupant.m_isPreempted = true;
-        addLeaving(occupant.m_slot, occupant.m_spec->getRoomNeed());
+        addLeaving(occupant.m_slot, occupant.m_spec->getCapacityDemand());
         m_plan.m_stops.push_back({getKey(occupant), occupant.m_run, why});
     }
 }
@@ -289,7 +290,7 @@
 void PlanningPass::reserveLeaving(const WorkUnit& unit, const Assignment& assignment) {
     for (const WorkerSlot slot : assignment) {
         Room& room = m_rooms[slot];
-        const Resources need = unit.getSpec().getRoomNeed();
+        const Resources need = unit.getSpec().getCapacityDemand();
         Resources fromLeaving = need;
         fromLeaving -= room.m_free;
         room.m_free -= need;
--- a/libs/job/src/PlanningPassHosts.cpp
+++ b/libs/job/src/PlanningPassHosts.cpp
@@ -8,7 +8,7 @@
 namespace pierbank {
 
 void PlanningPass::reserveForUrgent() {
-    for (const auto& [service, accelerators] : m_settings.m_urgentReserve) {
+    for (const auto& [service, accelerators] : m_settings.m_urgentHeadroom) {
         reserveForUrgent(service, accelerators);
         if (isHardlyHalfUsed(service)) {
             m_idleServices.insert(service);
@@ -31,7 +31,7 @@
         }
     }
     for (std::size_t i = 0; i < all.size(); ++i) {
-        if (all.at(i) > 0 && 1.0 - free.at(i) / all.at(i) < m_settings.m_hardlyHalf) {
+        if (all.at(i) > 0 && 1.0 - free.at(i) / all.at(i) < m_settings.m_lowUtilization) {
             return true;
         }
     }
@@ -42,7 +42,7 @@
     if (unit.isUrgent() || isStarved(unit)) {
         return true;
     }
-    return m_wallNow - unit.m_of->m_since >= m_settings.m_reserveYields &&
+    return m_wallNow - unit.m_of->m_since >= m_settings.m_headroomReleaseWait &&
            m_idleServices.count(unit.getRecord().m_policy.m_service) != 0 &&
            hasNothingRunning(*unit.m_of);
 }
@@ -71,7 +71,7 @@
     std::vector<WorkerSlot> slots;
     double all = 0;
     for (WorkerSlot slot = 0; slot < m_rooms.size(); ++slot) {
-        const WorkerView& worker = *m_rooms[slot].m_view;
+        const WorkerSnapshot& worker = *m_rooms[slot].m_view;
         if (worker.m_acceptsWork && worker.m_service == service) {
             slots.push_back(slot);
             all += worker.m_capacity.m_accelerators;
@@ -79,7 +79,7 @@
     }
     std::stable_sort(slots.begin(), slots.end(),
                      [&](WorkerSlot a, WorkerSlot b) { return others[a] < others[b]; });
-    const double most = std::min<double>(accelerators, m_settings.m_mostReserved * all);
+    const double most = std::min<double>(accelerators, m_settings.m_maxHeadroomShare * all);
     double kept = 0;
     for (const WorkerSlot slot : slots) {
         kept += m_rooms[slot].m_view->m_capacity.m_accelerators;
@@ -132,7 +132,7 @@
 /** All members keep off a host that failed one of them, as long as others could hold the unit. */
 void PlanningPass::barHosts(WorkUnit& unit) {
     unit.m_barred.clear();
-    if (!m_settings.m_barsHosts) {
+    if (!m_settings.m_excludesFailedHosts) {
         return;
     }
     const auto& tasks = unit.getStep().m_tasks;
--- a/libs/job/src/PlanningPassOrder.cpp
+++ b/libs/job/src/PlanningPassOrder.cpp
@@ -20,7 +20,7 @@
     std::vector<WaitingStep> steps;
     for (std::size_t job = 0; job < m_input.m_jobs.size(); ++job) {
         const PlannedJob& planned = m_input.m_jobs[job];
-        if (planned.m_run->isOver()) {
+        if (planned.m_run->isFinished()) {
             continue;
         }
         for (const OccurrenceRun& occurrence : planned.m_run->m_occurrences) {
@@ -55,16 +55,16 @@
         !isStepReady(record, occurrence, step)) {
         return;
     }
-    const auto mustWait = [&](std::uint32_t index) {
+    const auto mustAwaitResolution = [&](std::uint32_t index) {
         const TaskRun& task = run.m_tasks[index];
-        return task.m_losses.mustWait(task.m_lastRun);
+        return task.m_losses.mustAwaitResolution(task.m_lastRun);
     };
-    if (std::any_of(waiting.begin(), waiting.end(), mustWait)) {
+    if (std::any_of(waiting.begin(), waiting.end(), mustAwaitResolution)) {
         noteOpenLosses(record);
         if (isGang) {
             return;
         }
-        std::erase_if(waiting, mustWait);
+        std::erase_if(waiting, mustAwaitResolution);
     }
     if (waiting.empty()) {
         return;
@@ -76,10 +76,11 @@
 }
 
 void PlanningPass::noteOpenLosses(const JobRecord& record) {
-    if (m_input.m_withReasons) {
-        m_plan.m_notes.push_back({record.m_id, PlanNote::Kind::WAITS,
-                                  "waits: so many workers of a task were lost that it is not "
-                                  "started before it is known whether it crashed them"});
+    if (m_input.m_withExplanations) {
+        m_plan.m_explanations.push_back(
+                {record.m_id, PlanExplanation::Kind::WAITS,
+                 "waits: so many workers of a task were lost that it is not "
+                 "started before it is known whether it crashed them"});
     }
 }
 
@@ -130,7 +131,7 @@
     const Millis spare = step.m_objective - m_wallNow - remaining;
     const Millis span = step.m_objective - step.m_since;
     Band band = spare < Millis(0) ? LATE : ON_TIME;
-    if (spare < -span * m_settings.m_hopelessAfter) {
+    if (spare < -span * m_settings.m_hopelessFactor) {
         band = HOPELESS;
     } else if (isUrgent && step.m_isGuaranteed) {
         band = GUARANTEED;
@@ -152,7 +153,7 @@
 
 PlanningPass::Likeness PlanningPass::getLikeness(const WorkUnit& unit) {
     const StepSpec& spec = unit.getSpec();
-    const Resources need = spec.getRoomNeed();
+    const Resources need = spec.getCapacityDemand();
     const auto rack = m_racks.find(spec.m_dataRack);
     return {unit.m_of->m_eligible,
             need.m_cpuMillis,
@@ -162,7 +163,7 @@
             spec.m_dataRack.empty(),
             rack == m_racks.end() ? UNKNOWN_PART : rack->second,
             static_cast<int>(spec.m_adjacency),
-            mayGoFar(unit),
+            allowsRemote(unit),
             mayUseReserved(unit),
             m_claims > 0 ? spec.m_estimate : Millis(0)};
 }
@@ -176,7 +177,7 @@
     }
     eligible.m_has.resize(m_rooms.size());
     for (WorkerSlot slot = 0; slot < m_rooms.size(); ++slot) {
-        const WorkerView& worker = *m_rooms[slot].m_view;
+        const WorkerSnapshot& worker = *m_rooms[slot].m_view;
         if (worker.m_acceptsWork && worker.m_service == service &&
             (label.empty() || worker.m_labels.count(label) != 0)) {
             eligible.m_slots.push_back(slot);
@@ -191,7 +192,7 @@
     EligibleWorkers& some = m_advised.emplace_back();
     some.m_has.resize(m_rooms.size());
     for (const WorkerSlot slot : all.m_slots) {
-        if (advised != nullptr && advised->count(m_rooms[slot].m_view->m_id.m_life) != 0) {
+        if (advised != nullptr && advised->count(m_rooms[slot].m_view->m_id.m_incarnation) != 0) {
             some.m_slots.push_back(slot);
             some.m_has[slot] = true;
         }
--- a/libs/job/src/PlanningPassReasons.cpp
+++ b/libs/job/src/PlanningPassReasons.cpp
@@ -16,8 +16,8 @@
            std::to_string(need.m_memoryMb) + " MB)";
 }
 
-Resources getWhole(const WorkerView& worker) {
-    return takeMost(worker.m_capacity, worker.m_wholeCapacity);
+Resources getWhole(const WorkerSnapshot& worker) {
+    return componentMax(worker.m_capacity, worker.m_fullCapacity);
 }
 
 }  // namespace
@@ -35,19 +35,20 @@
             spec.m_maxPerWorker == 0 ? unit.m_indexes.size() : spec.m_maxPerWorker;
     std::map<PartNumber, std::uint64_t> heldBy;
     for (WorkerSlot slot = 0; slot < m_rooms.size(); ++slot) {
-        const WorkerView& worker = *m_rooms[slot].m_view;
+        const WorkerSnapshot& worker = *m_rooms[slot].m_view;
         const bool mayHold =
                 worker.m_service == unit.getRecord().m_policy.m_service &&
                 (withEvacuated || !worker.m_isEvacuated) &&
                 (spec.m_requiredLabel.empty() || worker.m_labels.count(spec.m_requiredLabel) != 0);
         Resources room = mayHold ? getWhole(worker) : Resources();
         std::uint64_t held = 0;
-        while (held < limit && held < unit.m_indexes.size() && spec.getRoomNeed().fitsInto(room)) {
-            room -= spec.getRoomNeed();
+        while (held < limit && held < unit.m_indexes.size() &&
+               spec.getCapacityDemand().fitsInto(room)) {
+            room -= spec.getCapacityDemand();
             ++held;
         }
         const bool isWholeRegion =
-                unit.m_indexes.size() == 1 || spec.m_mayGoFar || !spec.m_dataRack.empty();
+                unit.m_indexes.size() == 1 || spec.m_allowsRemote || !spec.m_dataRack.empty();
         heldBy[isWholeRegion ? ANY_PART : getPart(unit, slot)] += held;
     }
     return std::any_of(heldBy.begin(), heldBy.end(),
@@ -71,14 +72,14 @@
 }
 
 void PlanningPass::noteWait(const WorkUnit& unit) {
-    if (!m_input.m_withReasons) {
+    if (!m_input.m_withExplanations) {
         return;
     }
     if (canEverHold(unit)) {
         note(unit, explainWait(unit));
         return;
     }
-    note(unit, PlanNote::Kind::CANNOT_RUN, explainWait(unit));
+    note(unit, PlanExplanation::Kind::CANNOT_RUN, explainWait(unit));
 }
 
 std::string PlanningPass::explainWait(const WorkUnit& unit) const {
@@ -92,12 +93,12 @@
     std::uint64_t free = 0;
     std::uint32_t mostFree = 0;
     for (WorkerSlot slot = 0; slot < m_rooms.size(); ++slot) {
-        const WorkerView& worker = *m_rooms[slot].m_view;
+        const WorkerSnapshot& worker = *m_rooms[slot].m_view;
         const bool isOfService = worker.m_service == service;
         const bool hasLabel =
                 spec.m_requiredLabel.empty() || worker.m_labels.count(spec.m_requiredLabel) != 0;
-        const bool holds = spec.getRoomNeed().fitsInto(getWhole(worker));
-        const bool holdsNow = spec.getRoomNeed().fitsInto(worker.m_capacity);
+        const bool holds = spec.getCapacityDemand().fitsInto(getWhole(worker));
+        const bool holdsNow = spec.getCapacityDemand().fitsInto(worker.m_capacity);
         ofService += isOfService ? 1 : 0;
         labelled += isOfService && hasLabel ? 1 : 0;
         holding += isOfService && hasLabel && holds ? 1 : 0;
--- a/libs/job/src/RunLosses.cpp
+++ b/libs/job/src/RunLosses.cpp
@@ -37,7 +37,8 @@
                                                            "alone"};
 
 bool isBlamed(const RunLoss& loss) {
-    return loss.m_verdict == LossVerdict::SUSPECT || loss.m_verdict == LossVerdict::ALONE;
+    return loss.m_category == LossCategory::SUSPECT ||
+           loss.m_category == LossCategory::SOLE_SUSPECT;
 }
 
 /** How long the run has gone on that began last, of those that the worker said it runs. */
@@ -51,16 +52,16 @@
 
 }  // namespace
 
-std::string_view toText(LossVerdict verdict) {
-    return VERDICT_NAMES.at(static_cast<std::size_t>(verdict));
+std::string_view toText(LossCategory category) {
+    return VERDICT_NAMES.at(static_cast<std::size_t>(category));
 }
 
-std::vector<LossVerdict> judgeCrash(std::span<const CrashedRun> runs) {
+std::vector<LossCategory> classifyCrash(std::span<const CrashedRun> runs) {
     const auto isOfFirstJob = [&](const CrashedRun& run) {
         return run.m_task.m_job == runs.front().m_task.m_job;
     };
     if (std::all_of(runs.begin(), runs.end(), isOfFirstJob)) {
-        return std::vector<LossVerdict>(runs.size(), LossVerdict::ALONE);
+        return std::vector<LossCategory>(runs.size(), LossCategory::SOLE_SUSPECT);
     }
     const bool hasSuspects = std::any_of(runs.begin(), runs.end(),
                                          [](const CrashedRun& run) { return run.m_wasSuspect; });
@@ -68,22 +69,22 @@
     const bool isKnown = youngest != Millis::max();
     const Millis most =
             isKnown && youngest <= LATELY ? std::max(TOGETHER, 2 * youngest) : Millis::max();
-    std::vector<LossVerdict> verdicts;
+    std::vector<LossCategory> verdicts;
     for (const CrashedRun& run : runs) {
         const bool isLate = run.m_ran > most || (isKnown && !run.m_isConfirmed);
         const bool isLikely = hasSuspects ? run.m_wasSuspect : !isLate;
-        verdicts.push_back(isLikely ? LossVerdict::SUSPECT : LossVerdict::BESIDE);
+        verdicts.push_back(isLikely ? LossCategory::SUSPECT : LossCategory::BYSTANDER);
     }
     return verdicts;
 }
 
-bool RunLosses::note(const RunLoss& loss) {
+bool RunLosses::record(const RunLoss& loss) {
     const auto known = std::find_if(m_list.begin(), m_list.end(), [&](const RunLoss& one) {
         return one.m_worker == loss.m_worker;
     });
     if (known != m_list.end()) {
         const bool isNews =
-                known->m_verdict < loss.m_verdict && known->m_verdict <= LossVerdict::HOST_LOST;
+                known->m_category < loss.m_category && known->m_category <= LossCategory::HOST_LOST;
         if (isNews) {
             *known = loss;
         }
@@ -96,44 +97,44 @@
     return true;
 }
 
-bool RunLosses::forgetOpen(const WorkerId& worker) {
+bool RunLosses::discardUnresolved(const WorkerId& worker) {
     return std::erase_if(m_list, [&](const RunLoss& loss) {
-               return loss.m_verdict == LossVerdict::OPEN && loss.m_worker == worker;
+               return loss.m_category == LossCategory::UNRESOLVED && loss.m_worker == worker;
            }) != 0;
 }
 
 Millis RunLosses::getLongest() const {
     Millis longest{0};
     for (const RunLoss& loss : m_list) {
-        const bool isCrash = loss.m_verdict > LossVerdict::HOST_LOST;
+        const bool isCrash = loss.m_category > LossCategory::HOST_LOST;
         longest = isCrash ? std::max(longest, loss.m_ran) : longest;
     }
     return longest;
 }
 
-bool RunLosses::isRefutedBy(Millis age) const {
+bool RunLosses::isRefutedByRunTime(Millis age) const {
     constexpr int TIMES = 4;
     return !m_list.empty() && age > REFUTED_AFTER + TIMES * getLongest();
 }
 
 bool RunLosses::isSuspect() const {
     const auto beside = std::count_if(m_list.begin(), m_list.end(), [](const RunLoss& loss) {
-        return loss.m_verdict == LossVerdict::BESIDE;
+        return loss.m_category == LossCategory::BYSTANDER;
     });
     return std::any_of(m_list.begin(), m_list.end(), isBlamed) ||
            static_cast<std::size_t>(beside) >= SEVERAL;
 }
 
-bool RunLosses::isSeries() const {
+bool RunLosses::hasRepeatedCrashes() const {
     const auto seen = std::count_if(m_list.begin(), m_list.end(), [](const RunLoss& loss) {
-        return loss.m_verdict > LossVerdict::HOST_LOST;
+        return loss.m_category > LossCategory::HOST_LOST;
     });
     return static_cast<std::size_t>(seen) >= SEVERAL;
 }
 
 bool RunLosses::hasCrashedOn(std::string_view host) const {
     return std::any_of(m_list.begin(), m_list.end(), [host](const RunLoss& loss) {
-        return loss.m_verdict > LossVerdict::HOST_LOST && loss.m_worker.m_host == host;
+        return loss.m_category > LossCategory::HOST_LOST && loss.m_worker.m_host == host;
     });
 }
 
@@ -145,10 +146,10 @@
 /** A host that went whole counts as one beside crashes that were seen: its sidecar could not tell.
  */
 bool RunLosses::isCrash(const RunLoss& loss, bool withOpen) const {
-    if (loss.m_verdict == LossVerdict::OPEN) {
+    if (loss.m_category == LossCategory::UNRESOLVED) {
         return withOpen;
     }
-    return loss.m_verdict > LossVerdict::HOST_LOST || isSeries();
+    return loss.m_category > LossCategory::HOST_LOST || hasRepeatedCrashes();
 }
 
 unsigned RunLosses::weigh(bool withOpen) const {
@@ -156,7 +157,7 @@
     for (const RunLoss& loss : m_list) {
         if (isCrash(loss, withOpen)) {
             weight += CRASH_WEIGHT;
-        } else if (loss.m_verdict == LossVerdict::HOST_LOST) {
+        } else if (loss.m_category == LossCategory::HOST_LOST) {
             weight += HOST_WEIGHT;
         }
     }
@@ -175,24 +176,25 @@
     }
     std::sort(runs.begin(), runs.end());
     const std::uint32_t third = runs[CRASHES - 1];
-    const auto notBegun = std::count_if(m_notBegun.begin(), m_notBegun.end(),
+    const auto notBegun = std::count_if(m_neverStarted.begin(), m_neverStarted.end(),
                                         [third](std::uint32_t run) { return run > third; });
     return lastRun >= third + STARTS_AFTER + static_cast<std::uint32_t>(notBegun);
 }
 
 void RunLosses::clear() {
     m_list.clear();
-    m_notBegun.clear();
+    m_neverStarted.clear();
 }
 
-void RunLosses::noteNotBegun(std::uint32_t run) {
-    const bool isKnown = std::find(m_notBegun.begin(), m_notBegun.end(), run) != m_notBegun.end();
+void RunLosses::recordNeverStarted(std::uint32_t run) {
+    const bool isKnown =
+            std::find(m_neverStarted.begin(), m_neverStarted.end(), run) != m_neverStarted.end();
     if (m_list.empty() || isKnown) {
         return;
     }
-    m_notBegun.push_back(run);
-    if (m_notBegun.size() > MAX_NOT_BEGUN) {
-        m_notBegun.erase(m_notBegun.begin());
+    m_neverStarted.push_back(run);
+    if (m_neverStarted.size() > MAX_NOT_BEGUN) {
+        m_neverStarted.erase(m_neverStarted.begin());
     }
 }
 
@@ -201,14 +203,14 @@
  * chance: workers that fail by themselves do so at any time. Of later crashes all are needed that
  * the users' rule leaves, since a long run meets more of the fleet's own faults.
  */
-bool RunLosses::isProof() const {
+bool RunLosses::provesTaskFault() const {
     std::size_t quick = 0;
     std::size_t late = 0;
     bool wasAlone = false;
     for (const RunLoss& loss : m_list) {
         if (isBlamed(loss)) {
             ++(loss.m_ran <= QUICK ? quick : late);
-            wasAlone = wasAlone || loss.m_verdict == LossVerdict::ALONE;
+            wasAlone = wasAlone || loss.m_category == LossCategory::SOLE_SUSPECT;
         }
     }
     const bool isAtItsStart = quick >= QUICK_CRASHES && late == 0 && wasAlone;
@@ -217,18 +219,18 @@
 
 /** Where no crash was seen at all, hosts that are cut off are the likelier cause until there are
  * five. */
-bool RunLosses::mustWait(std::uint32_t lastRun) const {
+bool RunLosses::mustAwaitResolution(std::uint32_t lastRun) const {
     return weigh(true) >= PROOF || (weigh(false) > 0 && isExhausted(lastRun, true));
 }
 
 std::string RunLosses::describe() const {
     std::string text;
     for (const RunLoss& loss : m_list) {
-        text.append(text.empty() ? "" : ", ").append(loss.m_worker.m_life);
+        text.append(text.empty() ? "" : ", ").append(loss.m_worker.m_incarnation);
         text.append(" on ")
                 .append(loss.m_worker.m_host)
                 .append(" (")
-                .append(toText(loss.m_verdict));
+                .append(toText(loss.m_category));
         text.append(" after ").append(std::to_string(loss.m_ran.count())).append(" ms)");
     }
     return text;
--- a/libs/job/src/TaskPlanner.cpp
+++ b/libs/job/src/TaskPlanner.cpp
@@ -27,15 +27,15 @@
 
 }  // namespace
 
-std::string_view toText(UrgentWait::For what) {
+std::string_view toText(UrgentWait::Cause what) {
     switch (what) {
-        case UrgentWait::For::STOPS:
+        case UrgentWait::Cause::STOPS:
             return "stops";
-        case UrgentWait::For::ENDS:
+        case UrgentWait::Cause::ENDS:
             return "ends";
-        case UrgentWait::For::ROOM:
+        case UrgentWait::Cause::ROOM:
             return "room";
-        case UrgentWait::For::WORKERS:
+        case UrgentWait::Cause::WORKERS:
             break;
     }
     return "workers";
@@ -45,7 +45,7 @@
     return PlanningPass(m_settings, input).run();
 }
 
-TaskPlan TaskPlanner::plan(const std::vector<WorkerView>& workers,
+TaskPlan TaskPlanner::plan(const std::vector<WorkerSnapshot>& workers,
                            const std::vector<PlannedJob>& jobs,
                            const std::map<TaskKey, Millis>& remaining,
                            const std::map<std::string, std::uint32_t>& guarantees,
--- a/libs/job/test/JobCodecTest.cpp
+++ b/libs/job/test/JobCodecTest.cpp
@@ -32,7 +32,7 @@
                a.m_checkpoint == b.m_checkpoint && a.m_failures == b.m_failures &&
                a.m_failedRun == b.m_failedRun && a.m_failedHosts.m_text == b.m_failedHosts.m_text &&
                a.m_losses.m_list == b.m_losses.m_list &&
-               a.m_losses.m_notBegun == b.m_losses.m_notBegun;
+               a.m_losses.m_neverStarted == b.m_losses.m_neverStarted;
     }
 
     std::vector<TaskRun>& getTasks(JobRun& run) { return run.m_occurrences[0].m_steps[0].m_tasks; }
@@ -48,9 +48,9 @@
     tasks[2].m_failedRun = 7;
     tasks[2].m_failedHosts.add("h1");
     tasks[3].m_state = TaskState::DONE;
-    tasks[4].m_losses.note({{"h", "l"}, 3, LossVerdict::SUSPECT, Millis(12)});
-    tasks[5].m_losses.note({{"h", "l"}, 1, LossVerdict::ALONE, Millis(7)});
-    tasks[5].m_losses.noteNotBegun(2);
+    tasks[4].m_losses.record({{"h", "l"}, 3, LossCategory::SUSPECT, Millis(12)});
+    tasks[5].m_losses.record({{"h", "l"}, 1, LossCategory::SOLE_SUSPECT, Millis(7)});
+    tasks[5].m_losses.recordNeverStarted(2);
     m_run.m_occurrences[0].m_steps[0].m_copies.push_back({1, 9, {"h", "l"}, NOW, true});
     auto read = decodeJobRun(encodeJobRun(m_run));
     ASSERT_TRUE(read.has_value());
--- a/libs/job/test/JobTransitionsTest.cpp
+++ b/libs/job/test/JobTransitionsTest.cpp
@@ -59,12 +59,12 @@
 
 TEST_F(JobTransitionsTest, ARunMovesToTheNextProcessOfItsWorker) {
     const WorkerId next{"a", "next"};
-    moveRun(m_run, *m_run.findHeldRun(FIRST, 1), next);
-    EXPECT_EQ(m_run.findHeldRun(FIRST, 1)->m_worker, next);
+    rebindRun(m_run, *m_run.findActiveRun(FIRST, 1), next);
+    EXPECT_EQ(m_run.findActiveRun(FIRST, 1)->m_worker, next);
     applyCopy(m_run, SECOND, HOST_A, NOW);
-    moveRun(m_run, *m_run.findHeldRun(SECOND, 2), next);
-    EXPECT_EQ(m_run.findHeldRun(SECOND, 2)->m_worker, next);
-    EXPECT_EQ(m_run.findHeldRun(SECOND, 1)->m_worker, HOST_B);
+    rebindRun(m_run, *m_run.findActiveRun(SECOND, 2), next);
+    EXPECT_EQ(m_run.findActiveRun(SECOND, 2)->m_worker, next);
+    EXPECT_EQ(m_run.findActiveRun(SECOND, 1)->m_worker, HOST_B);
 }
 
 namespace {
@@ -82,7 +82,7 @@
         return applyLateEnd(m_record, m_run, {FIRST, run, HOST_A}, how, NOW);
     }
 
-    HeldRun makeStray(std::uint32_t run) const { return {FIRST, run, HOST_A, NOW, true, false}; }
+    ActiveRun makeStray(std::uint32_t run) const { return {FIRST, run, HOST_A, NOW, true, false}; }
 };
 
 }  // namespace
@@ -113,7 +113,7 @@
 
 /** Before, the task was started elsewhere while the stop was on its way. */
 TEST_F(ARunThatWasGivenUp, IsHeldWhileItGoesOnAfterAll) {
-    ASSERT_TRUE(holdStray(m_record, m_run, makeStray(1)));
+    ASSERT_TRUE(trackOrphanedRun(m_record, m_run, makeStray(1)));
     EXPECT_EQ(m_run.findTask(FIRST)->m_state, TaskState::STOPPING);
     EXPECT_TRUE(end(FIRST, RunEnd::STOPPED).m_isCurrent);
     EXPECT_EQ(m_run.findTask(FIRST)->m_state, TaskState::WAITING);
@@ -121,7 +121,7 @@
 
 TEST_F(ARunThatWasGivenUp, IsHeldBesideTheNextOneAndGoesFirst) {
     applyPlacement(m_run, FIRST, 2, HOST_B, NOW);
-    ASSERT_TRUE(holdStray(m_record, m_run, makeStray(1)));
+    ASSERT_TRUE(trackOrphanedRun(m_record, m_run, makeStray(1)));
     applyNotRunning(m_record, m_run, FIRST, 2, NOW);
     EXPECT_EQ(m_run.findTask(FIRST)->m_state, TaskState::STOPPING);
     EXPECT_TRUE(end(FIRST, RunEnd::DONE).m_isCurrent);
@@ -130,11 +130,11 @@
 
 TEST_F(ARunThatWasGivenUp, IsNotHeldForAGangNorForATaskThatIsDone) {
     m_record.m_spec.m_steps[0].m_isGang = true;
-    EXPECT_FALSE(holdStray(m_record, m_run, makeStray(1)));
+    EXPECT_FALSE(trackOrphanedRun(m_record, m_run, makeStray(1)));
     m_record.m_spec.m_steps[0].m_isGang = false;
     applyPlacement(m_run, FIRST, 2, HOST_B, NOW);
     applyEnd(m_record, m_run, FIRST, 2, RunEnd::DONE, "", NOW);
-    EXPECT_FALSE(holdStray(m_record, m_run, makeStray(1)));
+    EXPECT_FALSE(trackOrphanedRun(m_record, m_run, makeStray(1)));
 }
 
 }  // namespace
--- a/libs/job/test/PlannerPropertyTest.cpp
+++ b/libs/job/test/PlannerPropertyTest.cpp
@@ -22,7 +22,7 @@
         const int workers = pick(2, 6);
         const int perRack = pick(1, 3);
         for (int i = 0; i < workers; ++i) {
-            WorkerView worker;
+            WorkerSnapshot worker;
             worker.m_id = {"h" + std::to_string(i), "life"};
             worker.m_service = "s";
             worker.m_rack = "r" + std::to_string(i / perRack);
@@ -58,7 +58,7 @@
                 endOne(RunEnd::FAILED);
                 break;
             case 7: {
-                WorkerView& worker = drawWorker();
+                WorkerSnapshot& worker = drawWorker();
                 worker.m_acceptsWork = !worker.m_acceptsWork;
                 break;
             }
@@ -89,7 +89,7 @@
             jobs.push_back({&entry.m_record, &entry.m_run, nullptr});
         }
         TaskPlannerSettings settings;
-        settings.m_starvationLeast = Millis(20'000);
+        settings.m_minStarvationWait = Millis(20'000);
         const TaskPlan plan = TaskPlanner(settings).plan(m_workers, jobs, {}, m_guarantees, m_now);
         checkStops(plan);
         std::map<TaskKey, std::uint32_t> gangRuns;
@@ -118,9 +118,9 @@
     std::map<std::string, Resources> sumUsed() const {
         std::map<std::string, Resources> used;
         for (const Entry& entry : m_jobs) {
-            for (const HeldRun& run : listHeldRuns(entry.m_record.m_id, entry.m_run)) {
+            for (const ActiveRun& run : listActiveRuns(entry.m_record.m_id, entry.m_run)) {
                 used[run.m_worker.m_host] +=
-                        entry.m_record.m_spec.m_steps[run.m_task.m_step].getRoomNeed();
+                        entry.m_record.m_spec.m_steps[run.m_task.m_step].getCapacityDemand();
             }
         }
         return used;
@@ -138,15 +138,15 @@
     /** No worker holds more than it has, unless its room has shrunk; and only what it may hold. */
     void checkRooms() {
         for (const Entry& entry : m_jobs) {
-            for (const HeldRun& run : listHeldRuns(entry.m_record.m_id, entry.m_run)) {
+            for (const ActiveRun& run : listActiveRuns(entry.m_record.m_id, entry.m_run)) {
                 const StepSpec& spec = entry.m_record.m_spec.m_steps[run.m_task.m_step];
-                const WorkerView& worker = *findWorker(run.m_worker.m_host);
+                const WorkerSnapshot& worker = *findWorker(run.m_worker.m_host);
                 RC_ASSERT(spec.m_requiredLabel.empty() ||
                           worker.m_labels.count(spec.m_requiredLabel) != 0);
             }
         }
         std::map<std::string, Resources> used = sumUsed();
-        for (const WorkerView& worker : m_workers) {
+        for (const WorkerSnapshot& worker : m_workers) {
             RC_ASSERT(m_shrinks || used[worker.m_id.m_host].fitsInto(worker.m_capacity));
         }
     }
@@ -155,12 +155,12 @@
     void checkGangs() {
         for (const Entry& entry : m_jobs) {
             const StepSpec& spec = entry.m_record.m_spec.m_steps[0];
-            const auto held = listHeldRuns(entry.m_record.m_id, entry.m_run);
+            const auto held = listActiveRuns(entry.m_record.m_id, entry.m_run);
             if (!spec.m_isGang || held.empty()) {
                 continue;
             }
             RC_ASSERT(held.size() == spec.m_tasks);
-            for (const HeldRun& run : held) {
+            for (const ActiveRun& run : held) {
                 RC_ASSERT(run.m_run == held.front().m_run);
                 RC_ASSERT(spec.m_adjacency != Adjacency::RACK ||
                           findWorker(run.m_worker.m_host)->m_rack ==
@@ -175,16 +175,16 @@
             const Entry& entry = find(stop.m_task.m_job);
             const bool isLower = entry.m_record.m_policy.m_priority > 0;
             RC_ASSERT(isLower || !m_guarantees.empty());
-            RC_ASSERT(entry.m_run.findHeldRun(stop.m_task, stop.m_run).has_value());
+            RC_ASSERT(entry.m_run.findActiveRun(stop.m_task, stop.m_run).has_value());
         }
     }
 
     bool isRunning(const Entry& entry) const {
-        return listHeldRuns(entry.m_record.m_id, entry.m_run).size() ==
+        return listActiveRuns(entry.m_record.m_id, entry.m_run).size() ==
                entry.m_record.m_spec.m_steps[0].m_tasks;
     }
 
-    std::vector<WorkerView> m_workers;
+    std::vector<WorkerSnapshot> m_workers;
     std::deque<Entry> m_jobs;
     std::map<std::string, std::uint32_t> m_guarantees;
     Millis m_now{1'000'000};
@@ -192,7 +192,7 @@
     bool m_shrinks = false;
 
 private:
-    WorkerView& drawWorker() {
+    WorkerSnapshot& drawWorker() {
         const int last = static_cast<int>(m_workers.size()) - 1;
         return m_workers[static_cast<std::size_t>(pick(0, last))];
     }
@@ -222,8 +222,8 @@
         return m_jobs.front();
     }
 
-    const WorkerView* findWorker(const std::string& host) const {
-        for (const WorkerView& worker : m_workers) {
+    const WorkerSnapshot* findWorker(const std::string& host) const {
+        for (const WorkerSnapshot& worker : m_workers) {
             if (worker.m_id.m_host == host) {
                 return &worker;
             }
@@ -233,7 +233,7 @@
 
     void endOne(RunEnd how) {
         for (Entry& entry : m_jobs) {
-            const auto held = listHeldRuns(entry.m_record.m_id, entry.m_run);
+            const auto held = listActiveRuns(entry.m_record.m_id, entry.m_run);
             if (!held.empty() && pick(0, 2) == 0) {
                 applyEnd(entry.m_record, entry.m_run, held.front().m_task, held.front().m_run, how,
                          "", m_now);
@@ -244,9 +244,9 @@
     }
 
     void loseOne() {
-        const WorkerView& worker = drawWorker();
+        const WorkerSnapshot& worker = drawWorker();
         for (Entry& entry : m_jobs) {
-            for (const HeldRun& run : listHeldRuns(entry.m_record.m_id, entry.m_run)) {
+            for (const ActiveRun& run : listActiveRuns(entry.m_record.m_id, entry.m_run)) {
                 if (run.m_worker == worker.m_id) {
                     applyNotRunning(entry.m_record, entry.m_run, run.m_task, run.m_run, m_now);
                 }
@@ -257,7 +257,7 @@
 
     void finishStops() {
         for (Entry& entry : m_jobs) {
-            for (const HeldRun& run : listHeldRuns(entry.m_record.m_id, entry.m_run)) {
+            for (const ActiveRun& run : listActiveRuns(entry.m_record.m_id, entry.m_run)) {
                 if (run.m_isStopping) {
                     applyEnd(entry.m_record, entry.m_run, run.m_task, run.m_run, RunEnd::STOPPED,
                              "c", m_now);
@@ -298,7 +298,7 @@
     for (int i = 0; i < steps; ++i) {
         story.step();
     }
-    for (WorkerView& worker : story.m_workers) {
+    for (WorkerSnapshot& worker : story.m_workers) {
         worker.m_acceptsWork = true;
     }
     const std::uint32_t wanted = std::max(1U, story.m_workers.front().m_capacity.m_accelerators);
@@ -321,7 +321,7 @@
 /** However much small work comes: a large unit that starves gets its workers in the end. */
 RC_GTEST_PROP(PlannerPropertyTest, ALargeUnitDoesNotStarve, ()) {
     Story story;
-    for (WorkerView& worker : story.m_workers) {
+    for (WorkerSnapshot& worker : story.m_workers) {
         worker.m_capacity.m_accelerators = 4;
     }
     StepSpec small;
@@ -347,7 +347,7 @@
         fill();
         int place = round;
         for (Story::Entry& entry : story.m_jobs) {
-            for (const HeldRun& run : listHeldRuns(entry.m_record.m_id, entry.m_run)) {
+            for (const ActiveRun& run : listActiveRuns(entry.m_record.m_id, entry.m_run)) {
                 if (++place % 5 == 0 && &entry != &starving) {
                     applyEnd(entry.m_record, entry.m_run, run.m_task, run.m_run, RunEnd::DONE, "",
                              story.m_now);
--- a/libs/job/test/RunLossesTest.cpp
+++ b/libs/job/test/RunLossesTest.cpp
@@ -6,7 +6,7 @@
 namespace pierbank {
 namespace {
 
-using Verdicts = std::vector<LossVerdict>;
+using Verdicts = std::vector<LossCategory>;
 
 CrashedRun makeRun(const char* job, int ranMs, bool isConfirmed = true, bool wasSuspect = false) {
     return {{job, 0, 0, 0}, 1, Millis(ranMs), isConfirmed, wasSuspect};
@@ -14,39 +14,40 @@
 
 TEST(JudgeCrashTest, WhatRanWithNothingOfOtherJobsIsBlamedAlone) {
     const std::vector<CrashedRun> runs = {makeRun("a", 10), makeRun("a", 4000)};
-    EXPECT_EQ(judgeCrash(runs), (Verdicts{LossVerdict::ALONE, LossVerdict::ALONE}));
-    EXPECT_TRUE(judgeCrash({}).empty());
+    EXPECT_EQ(classifyCrash(runs),
+              (Verdicts{LossCategory::SOLE_SUSPECT, LossCategory::SOLE_SUSPECT}));
+    EXPECT_TRUE(classifyCrash({}).empty());
 }
 
 TEST(JudgeCrashTest, WhatBeganJustBeforeIsBlamedBeforeOthers) {
     const std::vector<CrashedRun> runs = {makeRun("a", 10), makeRun("b", 250), makeRun("c", 2500)};
-    EXPECT_EQ(judgeCrash(runs),
-              (Verdicts{LossVerdict::SUSPECT, LossVerdict::SUSPECT, LossVerdict::BESIDE}));
+    EXPECT_EQ(classifyCrash(runs),
+              (Verdicts{LossCategory::SUSPECT, LossCategory::SUSPECT, LossCategory::BYSTANDER}));
 }
 
 TEST(JudgeCrashTest, AllAreBlamedWhereNothingBeganLately) {
     const std::vector<CrashedRun> runs = {makeRun("a", 5000), makeRun("b", 9000)};
-    EXPECT_EQ(judgeCrash(runs), (Verdicts{LossVerdict::SUSPECT, LossVerdict::SUSPECT}));
+    EXPECT_EQ(classifyCrash(runs), (Verdicts{LossCategory::SUSPECT, LossCategory::SUSPECT}));
 }
 
 TEST(JudgeCrashTest, AStartWithoutAnAnswerIsBlamedOnlyWhereNothingElseRan) {
     const std::vector<CrashedRun> some = {makeRun("a", 5, false), makeRun("b", 900)};
-    EXPECT_EQ(judgeCrash(some), (Verdicts{LossVerdict::BESIDE, LossVerdict::SUSPECT}));
+    EXPECT_EQ(classifyCrash(some), (Verdicts{LossCategory::BYSTANDER, LossCategory::SUSPECT}));
     const std::vector<CrashedRun> none = {makeRun("a", 5, false), makeRun("b", 900, false)};
-    EXPECT_EQ(judgeCrash(none), (Verdicts{LossVerdict::SUSPECT, LossVerdict::SUSPECT}));
+    EXPECT_EQ(classifyCrash(none), (Verdicts{LossCategory::SUSPECT, LossCategory::SUSPECT}));
 }
 
 TEST(JudgeCrashTest, WhoWasSuspectBeforeIsBlamedBeforeWhatIsNew) {
     const std::vector<CrashedRun> runs = {makeRun("a", 10), makeRun("b", 50, true, true)};
-    EXPECT_EQ(judgeCrash(runs), (Verdicts{LossVerdict::BESIDE, LossVerdict::SUSPECT}));
+    EXPECT_EQ(classifyCrash(runs), (Verdicts{LossCategory::BYSTANDER, LossCategory::SUSPECT}));
 }
 
 /** One task, whose runs are lost on workers w1, w2, ... */
 class RunLossesTest : public ::testing::Test {
 protected:
-    void lose(LossVerdict verdict, int ranMs = 5000) {
+    void lose(LossCategory category, int ranMs = 5000) {
         ++m_number;
-        m_losses.note({makeWorker(m_number), m_number, verdict, Millis(ranMs)});
+        m_losses.record({makeWorker(m_number), m_number, category, Millis(ranMs)});
     }
 
     static WorkerId makeWorker(std::uint32_t number) {
@@ -59,141 +60,141 @@
 
 /** Two may be a chance: innocent jobs were given up for them. */
 TEST_F(RunLossesTest, ThreeCrashesAtTheStartOneOfThemAloneAreProof) {
-    lose(LossVerdict::SUSPECT, 10);
-    lose(LossVerdict::ALONE, 12);
-    EXPECT_FALSE(m_losses.isProof());
-    lose(LossVerdict::SUSPECT, 11);
-    EXPECT_TRUE(m_losses.isProof());
+    lose(LossCategory::SUSPECT, 10);
+    lose(LossCategory::SOLE_SUSPECT, 12);
+    EXPECT_FALSE(m_losses.provesTaskFault());
+    lose(LossCategory::SUSPECT, 11);
+    EXPECT_TRUE(m_losses.provesTaskFault());
 }
 
 TEST_F(RunLossesTest, ARunThatLivedOnMakesCrashesAtTheStartAChance) {
-    lose(LossVerdict::SUSPECT, 81);
-    lose(LossVerdict::ALONE, 2994);
-    lose(LossVerdict::ALONE, 103);
-    EXPECT_FALSE(m_losses.isProof());
-    lose(LossVerdict::ALONE, 97);
-    EXPECT_FALSE(m_losses.isProof());
+    lose(LossCategory::SUSPECT, 81);
+    lose(LossCategory::SOLE_SUSPECT, 2994);
+    lose(LossCategory::SOLE_SUSPECT, 103);
+    EXPECT_FALSE(m_losses.provesTaskFault());
+    lose(LossCategory::SOLE_SUSPECT, 97);
+    EXPECT_FALSE(m_losses.provesTaskFault());
 }
 
 TEST_F(RunLossesTest, CrashesAtTheStartBesideOthersAreNoProofYet) {
     for (int i = 0; i < 4; ++i) {
-        lose(LossVerdict::SUSPECT, 10);
-        EXPECT_FALSE(m_losses.isProof()) << i;
+        lose(LossCategory::SUSPECT, 10);
+        EXPECT_FALSE(m_losses.provesTaskFault()) << i;
     }
-    lose(LossVerdict::SUSPECT, 10);
-    EXPECT_TRUE(m_losses.isProof()) << "no sixth start";
+    lose(LossCategory::SUSPECT, 10);
+    EXPECT_TRUE(m_losses.provesTaskFault()) << "no sixth start";
 }
 
 TEST_F(RunLossesTest, FiveCrashesOfWhateverKindAreProof) {
-    lose(LossVerdict::ALONE);
-    lose(LossVerdict::BESIDE);
-    lose(LossVerdict::SUSPECT);
-    lose(LossVerdict::BESIDE);
-    EXPECT_FALSE(m_losses.isProof());
-    lose(LossVerdict::ALONE);
-    EXPECT_TRUE(m_losses.isProof());
+    lose(LossCategory::SOLE_SUSPECT);
+    lose(LossCategory::BYSTANDER);
+    lose(LossCategory::SUSPECT);
+    lose(LossCategory::BYSTANDER);
+    EXPECT_FALSE(m_losses.provesTaskFault());
+    lose(LossCategory::SOLE_SUSPECT);
+    EXPECT_TRUE(m_losses.provesTaskFault());
 }
 
 TEST_F(RunLossesTest, AHostThatWentWholeCountsHalf) {
     for (int i = 0; i < 9; ++i) {
-        lose(LossVerdict::HOST_LOST);
+        lose(LossCategory::HOST_LOST);
     }
-    EXPECT_FALSE(m_losses.isProof());
+    EXPECT_FALSE(m_losses.provesTaskFault());
     EXPECT_FALSE(m_losses.isSuspect());
-    lose(LossVerdict::HOST_LOST);
-    EXPECT_TRUE(m_losses.isProof());
+    lose(LossCategory::HOST_LOST);
+    EXPECT_TRUE(m_losses.provesTaskFault());
 }
 
 /** A host that went whole may have been taken along: beside crashes it counts as one. */
 TEST_F(RunLossesTest, ACrashThatOnlyADeadSidecarSawCountsWhereOthersWereSeen) {
-    lose(LossVerdict::SUSPECT);
-    lose(LossVerdict::HOST_LOST);
-    lose(LossVerdict::ALONE);
-    lose(LossVerdict::SUSPECT);
-    EXPECT_FALSE(m_losses.isProof());
-    lose(LossVerdict::HOST_LOST);
-    EXPECT_TRUE(m_losses.isProof());
+    lose(LossCategory::SUSPECT);
+    lose(LossCategory::HOST_LOST);
+    lose(LossCategory::SOLE_SUSPECT);
+    lose(LossCategory::SUSPECT);
+    EXPECT_FALSE(m_losses.provesTaskFault());
+    lose(LossCategory::HOST_LOST);
+    EXPECT_TRUE(m_losses.provesTaskFault());
 }
 
 /** The rule counts starts after the third crash, however they end: given way, moved, lapsed. */
 TEST_F(RunLossesTest, AfterThreeCrashesTwoMoreStartsAreAllThereAre) {
-    lose(LossVerdict::SUSPECT);
-    lose(LossVerdict::ALONE);
+    lose(LossCategory::SUSPECT);
+    lose(LossCategory::SOLE_SUSPECT);
     EXPECT_FALSE(m_losses.isExhausted(9, false));
-    lose(LossVerdict::BESIDE);
+    lose(LossCategory::BYSTANDER);
     EXPECT_FALSE(m_losses.isExhausted(3, false));
     EXPECT_FALSE(m_losses.isExhausted(4, false));
     EXPECT_TRUE(m_losses.isExhausted(5, false));
-    EXPECT_FALSE(m_losses.isProof()) << "the run that goes on may still refute it";
+    EXPECT_FALSE(m_losses.provesTaskFault()) << "the run that goes on may still refute it";
 }
 
 /** An order that reached a worker which had just gone started nothing. */
 TEST_F(RunLossesTest, ARunThatNeverBeganIsNoneOfTheTwo) {
-    lose(LossVerdict::SUSPECT);
-    m_losses.noteNotBegun(2);
+    lose(LossCategory::SUSPECT);
+    m_losses.recordNeverStarted(2);
     m_number = 2;
-    lose(LossVerdict::ALONE);
-    lose(LossVerdict::BESIDE);
-    m_losses.noteNotBegun(5);
-    m_losses.noteNotBegun(5);
+    lose(LossCategory::SOLE_SUSPECT);
+    lose(LossCategory::BYSTANDER);
+    m_losses.recordNeverStarted(5);
+    m_losses.recordNeverStarted(5);
     EXPECT_FALSE(m_losses.isExhausted(5, false));
     EXPECT_FALSE(m_losses.isExhausted(6, false));
     EXPECT_TRUE(m_losses.isExhausted(7, false));
-    m_losses.noteNotBegun(7);
+    m_losses.recordNeverStarted(7);
     EXPECT_FALSE(m_losses.isExhausted(7, false));
 }
 
 TEST_F(RunLossesTest, WithoutALossNothingIsNotedOfRunsThatNeverBegan) {
-    m_losses.noteNotBegun(1);
-    EXPECT_TRUE(m_losses.m_notBegun.empty());
+    m_losses.recordNeverStarted(1);
+    EXPECT_TRUE(m_losses.m_neverStarted.empty());
 }
 
 TEST_F(RunLossesTest, OpenLossesCountForStartsOnly) {
     for (int i = 0; i < 3; ++i) {
-        lose(LossVerdict::OPEN);
+        lose(LossCategory::UNRESOLVED);
     }
     EXPECT_TRUE(m_losses.isExhausted(5, true));
     EXPECT_FALSE(m_losses.isExhausted(5, false));
-    EXPECT_FALSE(m_losses.mustWait(5)) << "three hosts that are cut off";
-    lose(LossVerdict::BESIDE);
-    EXPECT_TRUE(m_losses.mustWait(5));
-    EXPECT_FALSE(m_losses.mustWait(4));
+    EXPECT_FALSE(m_losses.mustAwaitResolution(5)) << "three hosts that are cut off";
+    lose(LossCategory::BYSTANDER);
+    EXPECT_TRUE(m_losses.mustAwaitResolution(5));
+    EXPECT_FALSE(m_losses.mustAwaitResolution(4));
 }
 
 TEST_F(RunLossesTest, WithFiveThatMayBeCrashesTheTaskWaitsForTheVerdict) {
     for (int i = 0; i < 5; ++i) {
-        EXPECT_FALSE(m_losses.mustWait(m_number)) << i;
-        lose(LossVerdict::OPEN);
+        EXPECT_FALSE(m_losses.mustAwaitResolution(m_number)) << i;
+        lose(LossCategory::UNRESOLVED);
     }
-    EXPECT_TRUE(m_losses.mustWait(m_number));
-    EXPECT_FALSE(m_losses.isProof());
-    EXPECT_TRUE(m_losses.forgetOpen(makeWorker(3)));
-    EXPECT_FALSE(m_losses.mustWait(m_number));
+    EXPECT_TRUE(m_losses.mustAwaitResolution(m_number));
+    EXPECT_FALSE(m_losses.provesTaskFault());
+    EXPECT_TRUE(m_losses.discardUnresolved(makeWorker(3)));
+    EXPECT_FALSE(m_losses.mustAwaitResolution(m_number));
 }
 
 TEST_F(RunLossesTest, AVerdictCountsOnceHoweverOftenItIsTold) {
-    lose(LossVerdict::OPEN, 4600);
-    const RunLoss crash{makeWorker(1), 1, LossVerdict::ALONE, Millis(10)};
-    EXPECT_TRUE(m_losses.note(crash));
-    EXPECT_FALSE(m_losses.note(crash));
-    EXPECT_FALSE(m_losses.note({makeWorker(1), 1, LossVerdict::OPEN, Millis(4600)}));
-    EXPECT_FALSE(m_losses.forgetOpen(makeWorker(1)));
+    lose(LossCategory::UNRESOLVED, 4600);
+    const RunLoss crash{makeWorker(1), 1, LossCategory::SOLE_SUSPECT, Millis(10)};
+    EXPECT_TRUE(m_losses.record(crash));
+    EXPECT_FALSE(m_losses.record(crash));
+    EXPECT_FALSE(m_losses.record({makeWorker(1), 1, LossCategory::UNRESOLVED, Millis(4600)}));
+    EXPECT_FALSE(m_losses.discardUnresolved(makeWorker(1)));
     ASSERT_EQ(m_losses.list().size(), 1U);
     EXPECT_EQ(m_losses.list().front(), crash);
 }
 
 TEST_F(RunLossesTest, ASuspectIsARiskUntilItHasOutlivedItsCrashes) {
-    lose(LossVerdict::SUSPECT, 1500);
+    lose(LossCategory::SUSPECT, 1500);
     EXPECT_TRUE(m_losses.isRisk(Millis(3900)));
     EXPECT_FALSE(m_losses.isRisk(Millis(4100)));
-    EXPECT_FALSE(m_losses.isRefutedBy(Millis(60'000)));
-    EXPECT_TRUE(m_losses.isRefutedBy(Millis(67'000)));
+    EXPECT_FALSE(m_losses.isRefutedByRunTime(Millis(60'000)));
+    EXPECT_TRUE(m_losses.isRefutedByRunTime(Millis(67'000)));
 }
 
 TEST_F(RunLossesTest, OneCrashBesideAQuickerOneMakesNoSuspectButTwoDo) {
-    lose(LossVerdict::BESIDE);
+    lose(LossCategory::BYSTANDER);
     EXPECT_FALSE(m_losses.isSuspect());
-    lose(LossVerdict::BESIDE);
+    lose(LossCategory::BYSTANDER);
     EXPECT_TRUE(m_losses.isSuspect());
 }
 
--- a/libs/job/test/TaskPlannerTest.cpp
+++ b/libs/job/test/TaskPlannerTest.cpp
@@ -20,7 +20,7 @@
 
     TaskPlannerTest() {
         for (int i = 0; i < 4; ++i) {
-            WorkerView worker;
+            WorkerSnapshot worker;
             worker.m_id = {"h" + std::to_string(i), "life"};
             worker.m_service = "s";
             worker.m_rack = "r" + std::to_string(i / 2);
@@ -74,7 +74,7 @@
     }
 
     TaskPlannerSettings m_settings;
-    std::vector<WorkerView> m_workers;
+    std::vector<WorkerSnapshot> m_workers;
     std::deque<Entry> m_jobs;
     std::map<TaskKey, Millis> m_remaining;
     std::map<std::string, std::uint32_t> m_guarantees;
@@ -143,7 +143,7 @@
     const auto getWaits = [this] {
         std::vector<std::pair<std::string, std::string>> waits;
         for (const UrgentWait& wait : plan().m_urgentWaits) {
-            waits.emplace_back(wait.m_job, toText(wait.m_for));
+            waits.emplace_back(wait.m_job, toText(wait.m_cause));
         }
         return waits;
     };
@@ -179,7 +179,7 @@
 class WorkersKeptForUrgentWork : public TaskPlannerTest {
 protected:
     void SetUp() override {
-        m_settings.m_urgentReserve["s"] = 8;
+        m_settings.m_urgentHeadroom["s"] = 8;
         addRunning("old", 0, 4, Millis(100));
     }
     std::set<std::string> placeMany(std::uint32_t priority) {
@@ -233,12 +233,12 @@
 }
 
 TEST_F(WorkersKeptForUrgentWork, AreAQuarterOfThemAtMost) {
-    m_settings.m_urgentReserve["s"] = 1000;
+    m_settings.m_urgentHeadroom["s"] = 1000;
     EXPECT_EQ(placeMany(2).size(), 3U);
 }
 
 TEST_F(WorkersKeptForUrgentWork, AreNoneWhenTheDemandFillsNoWorker) {
-    m_settings.m_urgentReserve["s"] = 7;
+    m_settings.m_urgentHeadroom["s"] = 7;
     EXPECT_EQ(placeMany(2).size(), 4U);
 }
 
@@ -293,9 +293,9 @@
     addJob("a", 1, wide, NOW - Millis(10));
     addJob("b", 1, tooWide);
     const TaskPlan got = plan();
-    ASSERT_EQ(got.m_notes.size(), 2U);
-    EXPECT_EQ(got.m_notes[0].m_kind, PlanNote::Kind::WAITS);
-    EXPECT_EQ(got.m_notes[1].m_kind, PlanNote::Kind::CANNOT_RUN);
+    ASSERT_EQ(got.m_explanations.size(), 2U);
+    EXPECT_EQ(got.m_explanations[0].m_kind, PlanExplanation::Kind::WAITS);
+    EXPECT_EQ(got.m_explanations[1].m_kind, PlanExplanation::Kind::CANNOT_RUN);
 }
 
 /** Workers that restart in turn would else take the same task with each of them. */
@@ -307,8 +307,8 @@
         Entry& entry = addJob("job" + std::to_string(i), 1, makeStep(1, 1));
         TaskRun& task = entry.m_run.m_occurrences[0].m_steps[0].m_tasks[0];
         task.m_lastRun = 2;
-        task.m_losses.note({m_workers[0].m_id, 1, LossVerdict::BESIDE, Millis(500)});
-        task.m_losses.note({{"h9", "life"}, 2, LossVerdict::BESIDE, Millis(700)});
+        task.m_losses.record({m_workers[0].m_id, 1, LossCategory::BYSTANDER, Millis(500)});
+        task.m_losses.record({{"h9", "life"}, 2, LossCategory::BYSTANDER, Millis(700)});
         const TaskPlan got = plan();
         ASSERT_EQ(got.m_placements.size(), 1U);
         ++chosen[got.m_placements[0].m_worker.m_host];
@@ -335,8 +335,8 @@
     const TaskPlan plain =
             TaskPlanner(m_settings).plan({m_workers, jobs, forecast, m_guarantees, NOW, false});
     const TaskPlan explained = plan();
-    EXPECT_TRUE(plain.m_notes.empty());
-    EXPECT_FALSE(explained.m_notes.empty());
+    EXPECT_TRUE(plain.m_explanations.empty());
+    EXPECT_FALSE(explained.m_explanations.empty());
     ASSERT_EQ(plain.m_placements.size(), explained.m_placements.size());
     for (std::size_t i = 0; i < plain.m_placements.size(); ++i) {
         EXPECT_EQ(plain.m_placements[i].m_task, explained.m_placements[i].m_task);
@@ -359,7 +359,7 @@
 }
 
 TEST_F(TaskPlannerTest, KeptWorkersAreFastOnes) {
-    m_settings.m_urgentReserve["s"] = 8;
+    m_settings.m_urgentHeadroom["s"] = 8;
     m_workers[2].m_slowness = 0.8;
     addJob("a", 1, makeStep(4, 8));
     const TaskPlan got = plan();
--- a/libs/operators/src/AuditTrail.cpp
+++ b/libs/operators/src/AuditTrail.cpp
@@ -7,7 +7,7 @@
 #include <utility>
 
 #include "pierbank/base/Archive.h"
-#include "pierbank/control/CertainCommit.h"
+#include "pierbank/control/CommitResolver.h"
 #include "pierbank/control/StoreKeys.h"
 
 namespace pierbank {
@@ -61,7 +61,7 @@
         if (list.m_items.size() >= MAX_ENTRIES) {
             change.m_removals.push_back(list.m_items.front().m_key);
         }
-        CommitPatience patience;
+        CommitRetryPolicy patience;
         patience.m_limit = PATIENCE;
         // What the change wrote may be gone by the time that a lost answer is asked for again; the
         // entry stays, and it went in together with the change.
@@ -75,7 +75,7 @@
             }
             done(commit);
         };
-        CertainCommit::run(m_store, m_loop, std::move(change), patience, m_isAlive, finish);
+        CommitResolver::run(m_store, m_loop, std::move(change), patience, m_isAlive, finish);
     });
 }
 
--- a/libs/operators/src/DomainTable.cpp
+++ b/libs/operators/src/DomainTable.cpp
@@ -18,7 +18,7 @@
 void countRuns(const JobController& jobs, std::map<std::string, DomainFigures>& domains) {
     const auto& hosts = jobs.getWorkers().getHosts();
     for (const auto& [id, entry] : jobs.getJobs()) {
-        for (const HeldRun& run : listHeldRuns(id, entry.m_run)) {
+        for (const ActiveRun& run : listActiveRuns(id, entry.m_run)) {
             const auto host = hosts.find(run.m_worker.m_host);
             if (host != hosts.end() && host->second.m_notice.has_value()) {
                 ++domains[host->second.m_notice->m_failureDomain].m_runs;
@@ -32,7 +32,7 @@
 std::map<std::string, DomainFigures> countDomains(const JobController& jobs) {
     std::map<std::string, DomainFigures> domains;
     for (const auto& [address, host] : jobs.getWorkers().getHosts()) {
-        if (!host.m_notice.has_value() || host.m_notice->m_life.empty()) {
+        if (!host.m_notice.has_value() || host.m_notice->m_incarnation.empty()) {
             continue;
         }
         DomainFigures& domain = domains[host.m_notice->m_failureDomain];
@@ -44,7 +44,7 @@
     for (const auto& [name, revision] : jobs.getEvacuations().getDomains()) {
         domains[name].m_isAsked = true;
     }
-    for (const std::string& name : jobs.getEmptiedDomains()) {
+    for (const std::string& name : jobs.getStatementEvacuations()) {
         domains[name].m_isEmptied = true;
     }
     return domains;
--- a/libs/operators/src/JobBackend.cpp
+++ b/libs/operators/src/JobBackend.cpp
@@ -15,16 +15,16 @@
 
 namespace {
 
-WorkerHold toHold(HostAction action) {
+WorkerAdminState toHold(HostAction action) {
     switch (action) {
         case HostAction::QUARANTINE:
-            return WorkerHold::QUARANTINE;
+            return WorkerAdminState::QUARANTINE;
         case HostAction::DRAIN:
-            return WorkerHold::DRAIN;
+            return WorkerAdminState::DRAIN;
         case HostAction::RELEASE:
             break;
     }
-    return WorkerHold::RELEASE;
+    return WorkerAdminState::RELEASE;
 }
 
 }  // namespace
@@ -101,7 +101,7 @@
     const std::string id = toJobId(name);
     std::string text("job ");
     text.append(name).append(" of ").append(run.m_organisation).append(" is ");
-    text.append(toText(run.m_phase)).append("\n").append(run.m_why);
+    text.append(toText(run.m_phase)).append("\n").append(run.m_explanation);
     const std::string hosts = joinHosts(id, run);
     if (!hosts.empty()) {
         text.append("\non ").append(hosts);
@@ -110,7 +110,7 @@
     if (!note.empty()) {
         text.append("\nlast plan: ").append(note);
     }
-    for (const JobNote& decision : run.m_history) {
+    for (const JobEvent& decision : run.m_history) {
         const Millis age = m_loop.wallNow() - decision.m_at;
         text.append("\n").append(std::to_string(age.count())).append(" ms ago: ");
         text.append(decision.m_text);
@@ -125,12 +125,12 @@
         return refuse("there is no worker " + name);
     }
     std::string text("worker ");
-    text.append(name).append(" life ").append(host->m_notice->m_life);
+    text.append(name).append(" life ").append(host->m_notice->m_incarnation);
     text.append(host->isLinked() ? ", linked" : ", not linked");
     text.append(host->m_hasReport ? ", its runs are known" : ", its runs are not known yet");
     text.append(host->m_notice->m_isDraining ? ", draining" : "");
-    const WorkerHold hold = m_core.getJobs().getHold(address);
-    if (hold != WorkerHold::RELEASE) {
+    const WorkerAdminState hold = m_core.getJobs().getAdminState(address);
+    if (hold != WorkerAdminState::RELEASE) {
         text.append(", by an operator's word: ").append(toText(hold));
     }
     if (m_core.getJobs().isEvacuated(host->m_notice->m_failureDomain)) {
@@ -156,7 +156,7 @@
     std::uint32_t used = 0;
     for (const auto& [id, entry] : m_core.getJobs().getJobs()) {
         const bool isOwn = entry.m_run.m_organisation == name;
-        if (isOwn && entry.m_record.m_policy.m_priority == 0 && !entry.m_run.isOver()) {
+        if (isOwn && entry.m_record.m_policy.m_priority == 0 && !entry.m_run.isFinished()) {
             used += countAccelerators(entry.m_record);
         }
     }
@@ -172,7 +172,7 @@
 void JobBackend::withdraw(const StatementRequest& request, const std::string& name,
                           StatementCallback done) {
     const JobEntry* const entry = findJob(m_core.getJobs().getJobs(), name);
-    if (entry == nullptr || entry->m_run.isOver()) {
+    if (entry == nullptr || entry->m_run.isFinished()) {
         done(refuse(entry == nullptr ? "there is no job " + name
                                      : "job " + name + " is over already"));
         return;
@@ -189,7 +189,7 @@
         done(refuse("there is no worker " + change.m_name));
         return;
     }
-    const std::string before(toText(m_core.getJobs().getHold(address)));
+    const std::string before(toText(m_core.getJobs().getAdminState(address)));
     const std::string after(toText(toHold(change.m_action)));
     StoreTransaction transaction;
     transaction.m_puts = {{getWorkerKey(address), after, 0}};
@@ -263,7 +263,7 @@
     const auto evacuated = std::count_if(domains.begin(), domains.end(), [](const auto& domain) {
         return domain.second.isEvacuated();
     });
-    const JobFigures& figures = jobs.getFigures();
+    const JobStatistics& figures = jobs.getStatistics();
     MetricsPage page;
     page.addGauge("pierbank_leading", "1 at the gateway that leads", isLeading() ? 1 : 0);
     page.addGauge("pierbank_epoch", "epoch of this leader, or zero",
@@ -281,7 +281,7 @@
     page.addCounter("pierbank_runs_lost_total", "runs lost with their worker", figures.m_lost);
     page.addCounter("pierbank_runs_withdrawn_total",
                     "runs taken back unbegun from failure domains under evacuation",
-                    figures.m_withdrawn);
+                    figures.m_revoked);
     page.addGauge("pierbank_domains_evacuated", "failure domains under evacuation",
                   static_cast<double>(evacuated));
     page.addCounter("pierbank_unreadable_total", "entries of others that could not be read",
--- a/libs/operators/src/JobBackendDomains.cpp
+++ b/libs/operators/src/JobBackendDomains.cpp
@@ -26,7 +26,7 @@
         text.append("\nunder evacuation by the platform's operators, since revision ");
         text.append(std::to_string(found->second)).append("; they withdraw it");
     }
-    if (jobs.isEmptied(name)) {
+    if (jobs.isEvacuatedByStatement(name)) {
         text.append("\nunder evacuation by a statement; `domain release ").append(name);
         text.append("` withdraws it, `show audit` says whose it was");
     }
@@ -55,8 +55,8 @@
                             : "failure domain " + name + " is not under evacuation"));
         return;
     }
-    const auto toWord = [](bool isEmptied) {
-        return std::string(isEmptied ? EVACUATE_WORD : RELEASE_WORD);
+    const auto toWord = [](bool isEvacuatedByStatement) {
+        return std::string(isEvacuatedByStatement ? EVACUATE_WORD : RELEASE_WORD);
     };
     const std::string after = toWord(change.m_isEvacuated);
     StoreTransaction transaction;
--- a/libs/operators/src/JobBackendSubmit.cpp
+++ b/libs/operators/src/JobBackendSubmit.cpp
@@ -101,16 +101,16 @@
 StatementAnswer JobBackend::describeTry(const JobRecord& record) const {
     const TaskPlan plan = m_core.getJobs().tryPlan(record);
     std::string text = "would be accepted";
-    for (const PlanNote& note : plan.m_notes) {
+    for (const PlanExplanation& note : plan.m_explanations) {
         if (note.m_job == record.m_id) {
             text = note.m_text;
-            if (note.m_kind == PlanNote::Kind::CANNOT_RUN) {
+            if (note.m_kind == PlanExplanation::Kind::CANNOT_RUN) {
                 return refuse(text);
             }
         }
     }
     for (const Stop& stop : plan.m_stops) {
-        if (stop.m_why.ends_with(record.m_id)) {
+        if (stop.m_explanation.ends_with(record.m_id)) {
             text.append("; would make task ").append(stop.m_task.toText()).append(" give way");
         }
     }
--- a/libs/operators/src/JobTables.cpp
+++ b/libs/operators/src/JobTables.cpp
@@ -31,10 +31,10 @@
 std::map<std::string, Resources> sumUsed(const JobTable& jobs) {
     std::map<std::string, Resources> used;
     for (const auto& [id, entry] : jobs) {
-        for (const HeldRun& run : listHeldRuns(id, entry.m_run)) {
+        for (const ActiveRun& run : listActiveRuns(id, entry.m_run)) {
             if (run.m_task.m_step < entry.m_record.m_spec.m_steps.size()) {
                 used[run.m_worker.m_host] +=
-                        entry.m_record.m_spec.m_steps[run.m_task.m_step].getRoomNeed();
+                        entry.m_record.m_spec.m_steps[run.m_task.m_step].getCapacityDemand();
             }
         }
     }
@@ -46,7 +46,7 @@
     if (!host.isLinked()) {
         return "silent";
     }
-    if (notice.m_isGone) {
+    if (notice.m_hasExited) {
         return "gone";
     }
     if (notice.m_isDraining) {
@@ -55,12 +55,12 @@
     if (jobs.isEvacuated(notice.m_failureDomain)) {
         return "evacuated";
     }
-    const WorkerHold hold = jobs.getHold(host.m_address);
-    return hold == WorkerHold::RELEASE ? "live" : std::string(toText(hold));
+    const WorkerAdminState hold = jobs.getAdminState(host.m_address);
+    return hold == WorkerAdminState::RELEASE ? "live" : std::string(toText(hold));
 }
 
 bool isKnown(const WorkerPool::Host& host) {
-    return host.m_notice.has_value() && !host.m_notice->m_life.empty();
+    return host.m_notice.has_value() && !host.m_notice->m_incarnation.empty();
 }
 
 }  // namespace
@@ -105,7 +105,7 @@
 
 std::string joinHosts(const std::string& id, const JobRun& run) {
     std::set<std::string> hosts;
-    for (const HeldRun& held : listHeldRuns(id, run)) {
+    for (const ActiveRun& held : listActiveRuns(id, run)) {
         hosts.insert(held.m_worker.m_host);
     }
     std::string text;
@@ -152,8 +152,9 @@
                  Cell::ofNumber(notice.m_accelerators),
                  Cell::ofNumber(used[address].m_accelerators),
                  Cell::ofNumber(used[address].m_cpuMillis / MILLIS_PER_CORE),
-                 Cell::ofNumber(notice.m_wholeAccelerators - notice.m_accelerators),
-                 Cell::ofNumber(std::round(PERCENT * jobs.getSlowness(notice.m_life)) / PERCENT)});
+                 Cell::ofNumber(notice.m_fullAccelerators - notice.m_accelerators),
+                 Cell::ofNumber(std::round(PERCENT * jobs.getSlowness(notice.m_incarnation)) /
+                                PERCENT)});
     }
     return table;
 }
--- a/libs/store/include/pierbank/store/RecordStore.h
+++ b/libs/store/include/pierbank/store/RecordStore.h
@@ -91,10 +91,10 @@
     std::string m_reason;
 };
 
-/** One change seen by a watch; a removed key has `m_isGone`. */
+/** One change seen by a watch; a removed key has `m_isDeleted`. */
 struct StoreEvent {
     StoreItem m_item;
-    bool m_isGone = false;
+    bool m_isDeleted = false;
 };
 
 /** Outcome of one watch call; the next one continues after `m_at`. */
--- a/libs/wire/include/pierbank/wire/Frame.h
+++ b/libs/wire/include/pierbank/wire/Frame.h
@@ -15,11 +15,11 @@
  * Sidecar to gateway: asks for the lease, and is the worker's heartbeat. The lease counts from the
  * moment of asking, so that an answer which was delayed anywhere cannot lengthen it.
  */
-struct LeaseAsk {
+struct LeaseRequest {
     std::uint64_t m_sequence = 0;
     /** The worker does not answer its sidecar: this is only a sign of life of the sender. */
-    bool m_isWorkerSilent = false;
-    bool operator==(const LeaseAsk&) const = default;
+    bool m_isWorkerUnresponsive = false;
+    bool operator==(const LeaseRequest&) const = default;
 };
 
 /** Gateway to sidecar: lets a worker run tasks until so long after it asked with `sequence`. */
@@ -28,7 +28,7 @@
     std::uint64_t m_sequence = 0;
     std::uint64_t m_timeToLiveMs = 0;
     /** When to ask again; zero: as the sidecar is set. */
-    std::uint64_t m_askAfterMs = 0;
+    std::uint64_t m_nextRequestMs = 0;
     bool operator==(const LeaseRenewal&) const = default;
 };
 
@@ -43,14 +43,14 @@
  * Gateway to leader: how old is the configuration, and how many jobs are pending? Also the
  * gateway's sign of life.
  */
-struct GatewayAsk {
+struct GatewayQuery {
     /** Unique on the link, from 1. */
     std::uint64_t m_number = 0;
-    /** How well the sender could lead (LeadershipBid). */
+    /** How well the sender could lead (LeadershipCandidacy). */
     std::uint32_t m_fitness = 0;
     /** The pending jobs are asked for too. */
-    bool m_asksPending = false;
-    bool operator==(const GatewayAsk&) const = default;
+    bool m_wantsPending = false;
+    bool operator==(const GatewayQuery&) const = default;
 };
 
 /**
@@ -65,7 +65,7 @@
     std::uint64_t m_revision = 0;
     std::uint64_t m_ageMs = 0;
     /** When to ask again; zero: as the gateway is set. */
-    std::uint64_t m_askAfterMs = 0;
+    std::uint64_t m_nextRequestMs = 0;
     /** Gateways that are linked, and the best fitness among them and the leader. */
     std::uint32_t m_gateways = 0;
     std::uint32_t m_bestFitness = 0;
@@ -119,7 +119,7 @@
 
 /** A life of the worker that another followed although it never said goodbye. */
 struct WorkerCrash {
-    std::string m_life;
+    std::string m_incarnation;
     /** It was draining, so that it may have gone for that. */
     bool m_wasLeaving = false;
     std::vector<CrashedRunEntry> m_runs;
@@ -129,9 +129,9 @@
 /** Sidecar to leader: the worker's life and what it has; after each change and when linked. */
 struct WorkerNotice {
     /** Empty while none is known. */
-    std::string m_life;
+    std::string m_incarnation;
     /** The life is over: nothing of it runs any more. */
-    bool m_isGone = false;
+    bool m_hasExited = false;
     std::string m_service;
     std::string m_failureDomain;
     std::string m_rack;
@@ -140,9 +140,9 @@
     std::uint32_t m_memoryMb = 0;
     std::uint32_t m_accelerators = 0;
     /** The most that it had in this life; its room may have shrunk since, and may grow again. */
-    std::uint32_t m_wholeCpuMillis = 0;
-    std::uint32_t m_wholeMemoryMb = 0;
-    std::uint32_t m_wholeAccelerators = 0;
+    std::uint32_t m_fullCpuMillis = 0;
+    std::uint32_t m_fullMemoryMb = 0;
+    std::uint32_t m_fullAccelerators = 0;
     bool m_isDraining = false;
     /** Least time that a draining worker stays. */
     std::uint64_t m_remainingMs = 0;
@@ -175,7 +175,7 @@
 
 /** Sidecar to leader: what the worker says of itself. */
 struct RunReport {
-    std::string m_life;
+    std::string m_incarnation;
     std::vector<RunningEntry> m_running;
     std::vector<EndedEntry> m_ended;
     bool operator==(const RunReport&) const = default;
@@ -187,7 +187,7 @@
  */
 struct RunOrder {
     std::uint64_t m_epoch = 0;
-    std::string m_life;
+    std::string m_incarnation;
     std::string m_task;
     std::uint32_t m_run = 0;
     std::string m_payload;
@@ -195,7 +195,7 @@
     /** What the worker asks for on queues with advice; empty on others. */
     std::string m_ticket;
     /** A task that serves users: the tail of their answer times stays below this; zero: none. */
-    std::uint64_t m_targetTailMs = 0;
+    std::uint64_t m_latencyTargetMs = 0;
     /** It takes only the processor time that others leave, and is paced. */
     bool m_isFilling = false;
     bool operator==(const RunOrder&) const = default;
@@ -204,7 +204,7 @@
 /** Leader to sidecar: stop a run, or bar it if it has not begun. */
 struct RunStop {
     std::uint64_t m_epoch = 0;
-    std::string m_life;
+    std::string m_incarnation;
     std::string m_task;
     std::uint32_t m_run = 0;
     bool operator==(const RunStop&) const = default;
@@ -212,7 +212,7 @@
 
 /** Sidecar to leader: the run is not there, is not listed as ended, and can never begin. */
 struct RunAbsent {
-    std::string m_life;
+    std::string m_incarnation;
     std::string m_task;
     std::uint32_t m_run = 0;
     std::string m_reason;
@@ -220,10 +220,10 @@
 };
 
 /** Leader to sidecar: ends up to this number are kept; the worker may forget them. */
-struct EndsKept {
-    std::string m_life;
+struct EndsPersisted {
+    std::string m_incarnation;
     std::uint64_t m_number = 0;
-    bool operator==(const EndsKept&) const = default;
+    bool operator==(const EndsPersisted&) const = default;
 };
 
 /** Gateway to leader: this key under input/ is written, the store said so. */
@@ -234,9 +234,9 @@
 };
 
 /** Any message between processes of the system. The order is the wire's type number. */
-using Frame = std::variant<LeaderHello, LeaseAsk, LeaseRenewal, WorkerNotice, RunReport, RunOrder,
-                           RunStop, RunAbsent, EndsKept, InputNotice, RelayedRequest, RelayedAnswer,
-                           GatewayAsk, GatewayReply>;
+using Frame = std::variant<LeaderHello, LeaseRequest, LeaseRenewal, WorkerNotice, RunReport,
+                           RunOrder, RunStop, RunAbsent, EndsPersisted, InputNotice, RelayedRequest,
+                           RelayedAnswer, GatewayQuery, GatewayReply>;
 
 }  // namespace pierbank
 
--- a/libs/wire/src/FrameCodec.cpp
+++ b/libs/wire/src/FrameCodec.cpp
@@ -10,13 +10,13 @@
 // Found by argument-dependent lookup, so outside the unnamed namespace.
 
 template <typename Archive>
-void describe(Archive& archive, LeaseAsk& frame) {
-    archive(frame.m_sequence, frame.m_isWorkerSilent);
+void describe(Archive& archive, LeaseRequest& frame) {
+    archive(frame.m_sequence, frame.m_isWorkerUnresponsive);
 }
 
 template <typename Archive>
 void describe(Archive& archive, LeaseRenewal& frame) {
-    archive(frame.m_epoch, frame.m_sequence, frame.m_timeToLiveMs, frame.m_askAfterMs);
+    archive(frame.m_epoch, frame.m_sequence, frame.m_timeToLiveMs, frame.m_nextRequestMs);
 }
 
 template <typename Archive>
@@ -25,14 +25,14 @@
 }
 
 template <typename Archive>
-void describe(Archive& archive, GatewayAsk& frame) {
-    archive(frame.m_number, frame.m_fitness, frame.m_asksPending);
+void describe(Archive& archive, GatewayQuery& frame) {
+    archive(frame.m_number, frame.m_fitness, frame.m_wantsPending);
 }
 
 template <typename Archive>
 void describe(Archive& archive, GatewayReply& frame) {
-    archive(frame.m_number, frame.m_revision, frame.m_ageMs, frame.m_askAfterMs, frame.m_gateways,
-            frame.m_bestFitness, frame.m_knowsPending, frame.m_pending);
+    archive(frame.m_number, frame.m_revision, frame.m_ageMs, frame.m_nextRequestMs,
+            frame.m_gateways, frame.m_bestFitness, frame.m_knowsPending, frame.m_pending);
 }
 
 template <typename Archive>
@@ -67,14 +67,14 @@
 
 template <typename Archive>
 void describe(Archive& archive, WorkerCrash& crash) {
-    archive(crash.m_life, crash.m_wasLeaving, crash.m_runs);
+    archive(crash.m_incarnation, crash.m_wasLeaving, crash.m_runs);
 }
 
 template <typename Archive>
 void describe(Archive& archive, WorkerNotice& frame) {
-    archive(frame.m_life, frame.m_isGone, frame.m_service, frame.m_failureDomain, frame.m_rack,
-            frame.m_labels, frame.m_cpuMillis, frame.m_memoryMb, frame.m_accelerators,
-            frame.m_wholeCpuMillis, frame.m_wholeMemoryMb, frame.m_wholeAccelerators,
+    archive(frame.m_incarnation, frame.m_hasExited, frame.m_service, frame.m_failureDomain,
+            frame.m_rack, frame.m_labels, frame.m_cpuMillis, frame.m_memoryMb, frame.m_accelerators,
+            frame.m_fullCpuMillis, frame.m_fullMemoryMb, frame.m_fullAccelerators,
             frame.m_isDraining, frame.m_remainingMs, frame.m_coldLeftMs, frame.m_crashes);
 }
 
@@ -90,28 +90,28 @@
 
 template <typename Archive>
 void describe(Archive& archive, RunReport& frame) {
-    archive(frame.m_life, frame.m_running, frame.m_ended);
+    archive(frame.m_incarnation, frame.m_running, frame.m_ended);
 }
 
 template <typename Archive>
 void describe(Archive& archive, RunOrder& frame) {
-    archive(frame.m_epoch, frame.m_life, frame.m_task, frame.m_run, frame.m_payload,
-            frame.m_checkpoint, frame.m_ticket, frame.m_targetTailMs, frame.m_isFilling);
+    archive(frame.m_epoch, frame.m_incarnation, frame.m_task, frame.m_run, frame.m_payload,
+            frame.m_checkpoint, frame.m_ticket, frame.m_latencyTargetMs, frame.m_isFilling);
 }
 
 template <typename Archive>
 void describe(Archive& archive, RunStop& frame) {
-    archive(frame.m_epoch, frame.m_life, frame.m_task, frame.m_run);
+    archive(frame.m_epoch, frame.m_incarnation, frame.m_task, frame.m_run);
 }
 
 template <typename Archive>
 void describe(Archive& archive, RunAbsent& frame) {
-    archive(frame.m_life, frame.m_task, frame.m_run, frame.m_reason);
+    archive(frame.m_incarnation, frame.m_task, frame.m_run, frame.m_reason);
 }
 
 template <typename Archive>
-void describe(Archive& archive, EndsKept& frame) {
-    archive(frame.m_life, frame.m_number);
+void describe(Archive& archive, EndsPersisted& frame) {
+    archive(frame.m_incarnation, frame.m_number);
 }
 
 template <typename Archive>
--- a/libs/wire/test/FrameCodecTest.cpp
+++ b/libs/wire/test/FrameCodecTest.cpp
@@ -8,7 +8,7 @@
 
 RunReport makeReport() {
     RunReport report;
-    report.m_life = "l";
+    report.m_incarnation = "l";
     report.m_running.emplace_back().m_task = "j.0.0.0";
     report.m_ended.emplace_back().m_checkpoint = "c";
     return report;
@@ -23,18 +23,18 @@
 const std::vector<Frame>& getFrames() {
     static const std::vector<Frame> frames = {
             LeaderHello{5, "n"},
-            LeaseAsk{9, true},
+            LeaseRequest{9, true},
             LeaseRenewal{1, 2, 3, 4},
             makeNotice(),
             makeReport(),
             RunOrder{5, "l", "j.0.0.0", 1, std::string("\0\xff", 2), "c", "t", 40, true},
             RunStop{5, "l", "j.0.0.0", 1},
             RunAbsent{"l", "j.0.0.0", 1, "why"},
-            EndsKept{"l", 7},
+            EndsPersisted{"l", 7},
             InputNotice{"k", "v"},
             RelayedRequest{1, "POST", "h", "/x", "k", "body", 99},
             RelayedAnswer{1, 200, "body"},
-            GatewayAsk{3, 120, true},
+            GatewayQuery{3, 120, true},
             GatewayReply{3, 8, 40, 500, 183, 1000, true, {{"q", 4}}}};
     return frames;
 }
--- a/libs/wire/test/SocketTransportTest.cpp
+++ b/libs/wire/test/SocketTransportTest.cpp
@@ -62,7 +62,7 @@
         link->setCallbacks(
                 [&asked, end = link.get()](const Frame& frame) {
                     ++asked;
-                    end->send(LeaseRenewal{1, std::get<LeaseAsk>(frame).m_sequence, 10, 0});
+                    end->send(LeaseRenewal{1, std::get<LeaseRequest>(frame).m_sequence, 10, 0});
                 },
                 [] {});
     }
@@ -73,7 +73,7 @@
                     ++answered;
                 },
                 [] {});
-        ASSERT_TRUE(m_opened[i]->send(LeaseAsk{i, false}));
+        ASSERT_TRUE(m_opened[i]->send(LeaseRequest{i, false}));
     }
     runUntil([&] { return answered == LINKS; });
     EXPECT_EQ(asked, LINKS);
@@ -96,7 +96,7 @@
     std::size_t ended = 0;
     for (const auto& link : m_opened) {
         link->setCallbacks([](const Frame&) {}, [&ended] { ++ended; });
-        link->send(LeaseAsk{1, false});
+        link->send(LeaseRequest{1, false});
     }
     runUntil([&] { return ended == LINKS; });
     EXPECT_EQ(heard, 1U);
--- a/test/failures/ColdWorkersTest.cpp
+++ b/test/failures/ColdWorkersTest.cpp
@@ -23,7 +23,7 @@
     void tellCold(Millis left) {
         for (std::size_t i = 0; i < 3; ++i) {
             getSidecar(i).m_coldLeft = left;
-            m_fleet.beat(i);
+            m_fleet.heartbeat(i);
             // Later heartbeats would say the same again and again.
             getSidecar(i).m_isMute = true;
         }
--- a/test/failures/ConfigurationFailuresTest.cpp
+++ b/test/failures/ConfigurationFailuresTest.cpp
@@ -175,7 +175,7 @@
     ASSERT_TRUE(m_fleet.waitForLeader());
     m_fleet.m_loop.advance(Millis(500));
     const JobController& jobs = m_fleet.m_gateways[getLeader()].m_core->getJobs();
-    EXPECT_EQ(jobs.getHold("127.0.1.1:7000"), WorkerHold::QUARANTINE);
+    EXPECT_EQ(jobs.getAdminState("127.0.1.1:7000"), WorkerAdminState::QUARANTINE);
     EXPECT_EQ(jobs.getFragmentationWeight(), 70U);
 }
 
--- a/test/failures/CrashFailuresTest.cpp
+++ b/test/failures/CrashFailuresTest.cpp
@@ -368,7 +368,7 @@
 
     void beatAll() {
         for (std::size_t i = 0; i < m_fleet.m_sidecars.size(); ++i) {
-            m_fleet.beat(i);
+            m_fleet.heartbeat(i);
         }
     }
 };
@@ -383,7 +383,7 @@
 TEST_P(ATaskOnAWorkerThatLeaves, IsNoSuspectWhenItWentWithoutAWordButItCounts) {
     const RunLosses& losses = loseIt(false);
     ASSERT_EQ(losses.list().size(), 1U);
-    EXPECT_EQ(losses.list().front().m_verdict, LossVerdict::BESIDE);
+    EXPECT_EQ(losses.list().front().m_category, LossCategory::BYSTANDER);
     EXPECT_FALSE(losses.isSuspect());
 }
 
--- a/test/failures/FormerLivesTest.cpp
+++ b/test/failures/FormerLivesTest.cpp
@@ -13,7 +13,7 @@
         JobFleetTest::SetUp();
         m_former = m_fleet.makeBeat(0);
         getSidecar(0).m_worker->restart();
-        m_fleet.beat(0);
+        m_fleet.heartbeat(0);
         m_fleet.m_loop.advance(Millis(300));
         // One job a worker, so that one runs on the new life.
         for (int i = 0; i < 4; ++i) {
@@ -33,7 +33,7 @@
         }
     }
 
-    WorkerBeat m_former;
+    WorkerHeartbeat m_former;
 };
 
 TEST_F(ADelayedHeartbeatOfAFormerLife, DoesNotThrowTheLivingOneAway) {
@@ -45,7 +45,7 @@
 
 TEST_F(ADelayedHeartbeatOfAFormerLife, DoesNotDoSoWhenItsSidecarIsNewEither) {
     restartSidecarUnder(0, m_former);
-    m_fleet.beat(0);
+    m_fleet.heartbeat(0);
     expectThatAllRanOnce();
 }
 
@@ -60,7 +60,7 @@
     ASSERT_TRUE(m_fleet.waitForLeader());
     m_fleet.m_loop.advance(Millis(1000));
     getSidecar(0).m_isMute = false;
-    m_fleet.beat(0);
+    m_fleet.heartbeat(0);
     expectThatAllRanOnce();
 }
 
--- a/test/failures/RestartFailuresTest.cpp
+++ b/test/failures/RestartFailuresTest.cpp
@@ -140,7 +140,7 @@
         m_former.m_remaining = Millis(60'000);
         m_former.m_sequence = 1'000'000;
         getSidecar(0).m_worker->restart();
-        m_fleet.beat(0);
+        m_fleet.heartbeat(0);
         m_fleet.m_loop.advance(Millis(500));
     }
 
@@ -155,7 +155,7 @@
         expectSuccess(30, 4);
     }
 
-    WorkerBeat m_former;
+    WorkerHeartbeat m_former;
 };
 
 }  // namespace
@@ -187,13 +187,13 @@
 }
 
 TEST_F(WordsOfItsFormerProcess, ChangeNothingAsALateGoodbye) {
-    getSidecar(0).m_agent->handleLeave({m_former.m_life.m_id, 0});
+    getSidecar(0).m_agent->handleLeave({m_former.m_incarnation.m_id, 0});
     m_fleet.m_loop.advance(Millis(500));
     expectThatAllWorkersWork();
 }
 
 TEST_F(WordsOfItsFormerProcess, ChangeNothingAsALateGoodbyeThatTellsItsStart) {
-    getSidecar(0).m_agent->handleLeave(m_former.m_life);
+    getSidecar(0).m_agent->handleLeave(m_former.m_incarnation);
     m_fleet.m_loop.advance(Millis(500));
     expectThatAllWorkersWork();
 }
--- a/test/failures/RestartSeedsTest.cpp
+++ b/test/failures/RestartSeedsTest.cpp
@@ -71,18 +71,20 @@
 
     /** What a process said once: a heartbeat, or a goodbye that may tell no moment of start. */
     void deliverLate(JobFleet& fleet, Random& random) {
-        const auto [place, beat] = m_late.back();
+        const auto [place, heartbeat] = m_late.back();
         m_late.pop_back();
         WorkerAgent& agent = *fleet.m_sidecars[place].m_agent;
-        const bool isOver = fleet.m_sidecars[place].m_worker->getLife() != beat.m_life;
-        if (isOver && random.below(2) == 0) {
-            agent.handleLeave({beat.m_life.m_id, random.below(2) * beat.m_life.m_bornAt});
+        const bool isFinished =
+                fleet.m_sidecars[place].m_worker->getLife() != heartbeat.m_incarnation;
+        if (isFinished && random.below(2) == 0) {
+            agent.handleLeave({heartbeat.m_incarnation.m_id,
+                               random.below(2) * heartbeat.m_incarnation.m_processStartedAt});
         } else {
-            agent.handleBeat(beat);
+            agent.handleHeartbeat(heartbeat);
         }
     }
 
-    std::vector<std::pair<std::size_t, WorkerBeat>> m_late;
+    std::vector<std::pair<std::size_t, WorkerHeartbeat>> m_late;
 };
 
 /** @return the seeds from first up to, not including, end; `PIERBANK_SEEDS=first:end` plays others.
--- a/test/failures/RoomFailuresTest.cpp
+++ b/test/failures/RoomFailuresTest.cpp
@@ -24,7 +24,7 @@
 
     void tell(const Resources& room) {
         getSidecar(0).m_capacity = room;
-        m_fleet.beat(0);
+        m_fleet.heartbeat(0);
         m_fleet.m_loop.advance(Millis(50));
     }
 
--- a/test/failures/ScheduleFailuresTest.cpp
+++ b/test/failures/ScheduleFailuresTest.cpp
@@ -240,7 +240,8 @@
     m_fleet.submit(ID, R"({"count":4,"cpu":8000,"gpu":8,"est_ms":60000})", "60000");
     ASSERT_TRUE(waitUntil(Millis(2000), [&] { return countMembers(ID, 4) == 4; }));
     m_fleet.m_loop.advance(Millis(1000));
-    const JobFigures& figures = m_fleet.m_gateways[getLeader()].m_core->getJobs().getFigures();
+    const JobStatistics& figures =
+            m_fleet.m_gateways[getLeader()].m_core->getJobs().getStatistics();
     const std::uint64_t before = figures.m_plans;
     m_fleet.m_loop.advance(Millis(10'000));
     // One each 500 ms. A plan each 100 ms and for each report would be 140 (worked out).
@@ -272,7 +273,7 @@
     m_fleet.startSidecar(1);
     m_fleet.m_loop.advance(Millis(2000));
     EXPECT_NE(m_fleet.m_state.find(key), nullptr);
-    EXPECT_TRUE(m_fleet.m_sidecars[1].m_agent->isLed());
+    EXPECT_TRUE(m_fleet.m_sidecars[1].m_agent->hasLeader());
 }
 
 TEST_F(ScheduleFailuresTest, AHostForgottenWhileItWasCutOffRegistersAgain) {
@@ -285,7 +286,7 @@
         m_fleet.m_network.heal(gateway.m_name, sidecar.m_name);
     }
     m_fleet.m_loop.advance(Registration::CHECK + Millis(2000));
-    EXPECT_TRUE(sidecar.m_agent->isLed());
+    EXPECT_TRUE(sidecar.m_agent->hasLeader());
 }
 
 TEST_F(ScheduleFailuresTest, AWaveOfCancellationsFreesEverything) {
--- a/test/failures/StepFeaturesTest.cpp
+++ b/test/failures/StepFeaturesTest.cpp
@@ -22,7 +22,7 @@
     void drain(std::size_t place, Millis remaining) {
         getSidecar(place).m_isDraining = true;
         getSidecar(place).m_remaining = remaining;
-        m_fleet.beat(place);
+        m_fleet.heartbeat(place);
         m_fleet.m_loop.advance(Millis(50));
     }
 };
--- a/test/failures/WorkerFailuresTest.cpp
+++ b/test/failures/WorkerFailuresTest.cpp
@@ -191,7 +191,7 @@
     EXPECT_EQ(m_fleet.ask(0, "DELETE", std::string("/batch/") + ID).m_status, 200U);
     m_fleet.m_loop.advance(Millis(500));
     getSidecar(*place).m_isMute = false;
-    m_fleet.beat(*place);
+    m_fleet.heartbeat(*place);
     m_fleet.m_loop.advance(Millis(500));
     EXPECT_FALSE(m_fleet.m_witness.isRunning(taskOf(ID)));
 }
@@ -251,7 +251,7 @@
         const std::string id = "00000000000000" + std::to_string(20 + round);
         m_fleet.submit(id, WHOLE, "100", "/urgent/");
         ASSERT_TRUE(waitUntil(Millis(2000), [&] { return !getSidecar(0).m_worker->isDown(); }));
-        m_fleet.beat(0);
+        m_fleet.heartbeat(0);
         m_fleet.m_loop.advance(Millis(150));
         EXPECT_EQ(m_fleet.m_witness.countStarts(taskOf(id)), 1U) << round;
     }
@@ -310,7 +310,7 @@
 TEST_F(WorkerFailuresTest, ADrainingWorkerGetsNoNewWork) {
     for (std::size_t i = 0; i < 3; ++i) {
         m_fleet.m_sidecars[i].m_isDraining = true;
-        m_fleet.beat(i);
+        m_fleet.heartbeat(i);
     }
     m_fleet.m_loop.advance(Millis(50));
     m_fleet.submit(ID, SMALL, "300");
--- a/test/soak/Callers.cpp
+++ b/test/soak/Callers.cpp
@@ -118,7 +118,7 @@
     // Sometimes also after its acceptance: it stays one job.
     const bool isAgain = status == HTTP_OK ? m_random.below(12) == 0 : true;
     const unsigned most = isUnknown(status) ? 2 * MAX_TRIES : MAX_TRIES;
-    if (!isAgain || tries >= most || job.m_isCancelAsked) {
+    if (!isAgain || tries >= most || job.m_isCancelRequested) {
         return;
     }
     m_loop.callLater(RETRY_PAUSE, [this, id, tries, alive = std::weak_ptr(m_isAlive)] {
@@ -163,7 +163,7 @@
 
 void Callers::cancel(const std::string& id, unsigned tries) {
     SoakJob& job = m_promises.getJobs().at(id);
-    job.m_isCancelAsked = true;
+    job.m_isCancelRequested = true;
     const bool wasAccepted = job.m_isAccepted;
     m_client.send(makeCall("DELETE", job.m_queue + id, pickGateway(), m_key),
                   [this, id, tries, wasAccepted,
--- a/test/soak/Promises.cpp
+++ b/test/soak/Promises.cpp
@@ -18,7 +18,7 @@
     return body.substr(HEAD.size(), body.size() - HEAD.size() - TAIL.size());
 }
 
-bool isOver(const std::string& state) {
+bool isFinished(const std::string& state) {
     return state == "succeeded" || state == "failed" || state == "canceled";
 }
 
@@ -87,7 +87,7 @@
         // Two questions were open at once: either answer may be the older one.
         return;
     }
-    if (isOver(job.m_lastState) && state != job.m_lastState) {
+    if (isFinished(job.m_lastState) && state != job.m_lastState) {
         breach("whole answers to the right caller", job.m_id,
                job.m_lastState + " and later " + state);
     }
@@ -97,16 +97,16 @@
     if (state == "failed" && !job.m_isPoison) {
         breach("nothing accepted is lost", job.m_id, "failed without cause");
     }
-    if (state == "canceled" && !job.m_isCancelAsked) {
+    if (state == "canceled" && !job.m_isCancelRequested) {
         breach("nothing accepted is lost", job.m_id, "canceled, which nobody asked for");
     }
     job.m_lastState = state;
     job.m_lastStateAt = now;
-    job.m_isToldOver = isOver(state);
+    job.m_isToldOver = isFinished(state);
 }
 
 void Promises::noteCancelled(SoakJob& job, std::uint32_t status, bool wasAccepted) {
-    job.m_isCancelAsked = true;
+    job.m_isCancelRequested = true;
     if (status == HTTP_GONE && wasAccepted) {
         breach("nothing accepted is lost", job.m_id, "410 to a DELETE of an accepted job");
     }
@@ -178,7 +178,7 @@
         if (job.m_lastState == "canceled" && countRunning(job) > 0) {
             breach("cancelled work is gone", id, "canceled, and it still runs");
         }
-        if (job.m_isAccepted && !job.m_isCancelAsked && !job.m_isPoison && !isDone(job)) {
+        if (job.m_isAccepted && !job.m_isCancelRequested && !job.m_isPoison && !isDone(job)) {
             breach("nothing accepted is lost", id, "accepted, and it was not run to its end");
         }
     }
--- a/test/soak/Promises.h
+++ b/test/soak/Promises.h
@@ -26,7 +26,7 @@
     bool m_isAccepted = false;
     /** Every answer so far was a refusal. */
     bool m_isOnlyRefused = true;
-    bool m_isCancelAsked = false;
+    bool m_isCancelRequested = false;
     /** Told to have ended. */
     bool m_isToldOver = false;
     std::string m_lastState;
--- a/test/soak/mutants.sh
+++ b/test/soak/mutants.sh
@@ -40,7 +40,7 @@
     case $1 in
     lost-without-waiting) # nothing runs twice
         replace libs/control/src/WorkerPool.cpp 'now > host.m_grantedUntil) {' \
-            'now > host.m_heardAt + Millis(1500)) {' ;;
+            'now > host.m_lastReceivedAt + Millis(1500)) {' ;;
     taken-before-kept) # nothing accepted is lost
         replace libs/control/src/JobIntake.cpp 'case StoreStatus::UNKNOWN:
             relayOr(call, HTTP_TIMEOUT, "the store did not say whether it was taken");' \
@@ -61,15 +61,15 @@
     evacuations-not-read) # nothing begins where it is evacuated
         soak_options=(--evacuate)
         replace libs/control/src/JobControllerEvacuations.cpp \
-            'return m_evacuations.getDomains().count(domain) != 0 || isEmptied(domain);' \
-            'return isEmptied(domain);' ;;
+            'return m_evacuations.getDomains().count(domain) != 0 || isEvacuatedByStatement(domain);' \
+            'return isEvacuatedByStatement(domain);' ;;
     stop-is-not-sent) # cancelled work is gone
         replace libs/control/src/JobController.cpp \
             'entry.m_messages.push_back({run.m_worker.m_host, RunStop{' \
             'entry.m_messages.push_back({std::string(), RunStop{' ;;
     done-too-early) # whole answers to the right caller
         replace libs/control/src/JobIntakeReads.cpp 'm_codec.writePhase(run->m_phase)' \
-            'm_codec.writePhase(run->m_hasBegun ? JobPhase::SUCCEEDED : run->m_phase)' ;;
+            'm_codec.writePhase(run->m_hasStarted ? JobPhase::SUCCEEDED : run->m_phase)' ;;
     *) echo "no mutant $1"; exit 2 ;;
     esac
 }
--- a/test/support/FakeAdvisor.h
+++ b/test/support/FakeAdvisor.h
@@ -6,7 +6,7 @@
 
 #include "pierbank/base/EventLoop.h"
 #include "pierbank/control/Advisor.h"
-#include "pierbank/job/WorkerLife.h"
+#include "pierbank/job/WorkerIncarnation.h"
 
 namespace pierbank::testing {
 
@@ -15,17 +15,17 @@
 public:
     explicit FakeAdvisor(EventLoop& loop) : m_loop(loop) {}
 
-    void advise(const std::string& step, const std::vector<std::string>& lives, Millis patience,
-                std::function<void(const AdviceReply&)> done) override {
+    void advise(const std::string& step, const std::vector<std::string>& incarnations,
+                Millis patience, std::function<void(const AdviceReply&)> done) override {
         constexpr Millis LATENCY{50};
         ++m_questions;
         m_mostAtOnce = std::max(m_mostAtOnce, ++m_open);
         AdviceReply reply;
         reply.m_isGood = !m_isDown;
-        for (const std::string& life : lives) {
-            const std::string id(getWorkerIdOf(life));
+        for (const std::string& incarnation : incarnations) {
+            const std::string id(getWorkerIdOf(incarnation));
             if (m_allowed.count(id) != 0) {
-                reply.m_workers.push_back({life, "ticket-" + id});
+                reply.m_workers.push_back({incarnation, "ticket-" + id});
             }
         }
         static_cast<void>(step);
--- a/test/support/FakeTaskWorker.cpp
+++ b/test/support/FakeTaskWorker.cpp
@@ -71,20 +71,20 @@
     m_ended.clear();
     m_fence = 0;
     m_nextEnd = 1;
-    m_lastKept = 0;
+    m_lastPersisted = 0;
     m_lapsedThrough = 0;
     m_endEvents.clear();
     m_clockOffset = m_loop.now() - Millis(1000);
     m_until = Millis(0);
     m_beats = 0;
-    ++m_lives;
+    ++m_incarnations;
     logEvent(Severity::INFO, "worker", "restarted",
              {{"name", m_name}, {"at_ms", std::to_string(m_loop.now().count())}});
     // Two starts within one millisecond are two starts.
     const auto wallNow = static_cast<std::uint64_t>((m_loop.wallNow() + m_wallClockError).count());
-    m_bornAt = wallNow == m_bornAt ? wallNow + 1 : wallNow;
+    m_processStartedAt = wallNow == m_processStartedAt ? wallNow + 1 : wallNow;
     if (form == RestartForm::NEW_ID || m_id.empty()) {
-        m_id = m_name + "-" + std::to_string(m_lives);
+        m_id = m_name + "-" + std::to_string(m_incarnations);
     }
 }
 
@@ -126,7 +126,7 @@
         return {WorkerStatus::UNKNOWN, "silent"};
     }
     if (call.m_id != m_id) {
-        return {WorkerStatus::OTHER_LIFE, "life"};
+        return {WorkerStatus::OTHER_INCARNATION, "life"};
     }
     if (call.m_fence < m_fence) {
         return {WorkerStatus::REFUSED, "fence"};
@@ -261,7 +261,7 @@
 HoldReply FakeTaskWorker::look() {
     HoldReply reply;
     reply.m_status = WorkerStatus::OK;
-    reply.m_bornAt = m_bornAt;
+    reply.m_processStartedAt = m_processStartedAt;
     reply.m_clock = getClock();
     for (const auto& [task, run] : m_runs) {
         const auto passed = (m_loop.now() - run.m_startedAt).count();
@@ -299,30 +299,30 @@
             HoldReply reply;
             reply.m_status = checked.m_status;
             reply.m_reason = checked.m_reason;
-            reply.m_isNobodyThere = m_isDown;
+            reply.m_isConnectionRefused = m_isDown;
             done(reply);
             return;
         }
         takeHold(hold);
         constexpr Millis LONGEST{100};
         const Millis wait = m_ended.empty() ? hold.m_wait : Millis(0);
-        waitHeld(m_loop.now() + std::min(wait, LONGEST), m_lives, done);
+        waitHeld(m_loop.now() + std::min(wait, LONGEST), m_incarnations, done);
     });
 }
 
 /** Ends up to there are forgotten at that moment; later ones are listed whatever their number. */
 void FakeTaskWorker::takeHold(const HoldCall& hold) {
-    m_lastKept = std::max(m_lastKept, hold.m_lastKept);
-    forgetEnds(hold.m_lastKept);
+    m_lastPersisted = std::max(m_lastPersisted, hold.m_lastPersisted);
+    forgetEnds(hold.m_lastPersisted);
     if (hold.m_until.has_value()) {
         extend(*hold.m_until);
     }
 }
 
 /** A process that goes breaks its connections at once. */
-void FakeTaskWorker::waitHeld(Millis until, unsigned lives,
+void FakeTaskWorker::waitHeld(Millis until, unsigned incarnations,
                               std::function<void(const HoldReply&)> done) {
-    if (lives != m_lives || m_suspendedAt.has_value()) {
+    if (incarnations != m_incarnations || m_suspendedAt.has_value()) {
         HoldReply broken;
         broken.m_reason = "connection terminated";
         done(broken);
@@ -330,9 +330,9 @@
         done(look());
     } else {
         m_loop.callLater(std::min(STEP, until - m_loop.now()),
-                         [this, until, lives, done, alive = std::weak_ptr(m_isAlive)] {
+                         [this, until, incarnations, done, alive = std::weak_ptr(m_isAlive)] {
                              if (!alive.expired()) {
-                                 waitHeld(until, lives, done);
+                                 waitHeld(until, incarnations, done);
                              }
                          });
     }
@@ -353,7 +353,7 @@
     return found == m_runs.end() ? std::nullopt : std::optional(found->second.m_percent);
 }
 
-void FakeTaskWorker::pace(const WorkerCall& call, const PaceCall& pace,
+void FakeTaskWorker::pace(const WorkerCall& call, const ThrottleCall& pace,
                           std::function<void(const RunReply&)> done) {
     m_loop.callLater(LATENCY, [this, call, pace, done = std::move(done)] {
         const RunReply checked = checkCall(call);
@@ -386,7 +386,7 @@
     // A stop saves what was done.
     const std::string saved =
             how == RunEnd::STOPPED ? std::to_string((m_loop.now() - run.m_startedAt).count()) : "";
-    m_endEvents[m_nextEnd] = m_witness.noteEnd();
+    m_endEvents[m_nextEnd] = m_witness.recordRunEnd();
     m_ended.push_back({m_nextEnd++, task, run.m_number, how, saved});
     m_witness.noteStop(task, m_name);
     note(toText(how).data(), task, run.m_number);
--- a/test/support/FakeTaskWorker.h
+++ b/test/support/FakeTaskWorker.h
@@ -13,7 +13,7 @@
 
 #include "pierbank/base/EventLoop.h"
 #include "pierbank/control/TaskWorker.h"
-#include "pierbank/job/WorkerLife.h"
+#include "pierbank/job/WorkerIncarnation.h"
 #include "RunWitness.h"
 
 namespace pierbank::testing {
@@ -44,7 +44,7 @@
                std::function<void(const RunReply&)> done) override;
     void stop(const WorkerCall& call, const TaskKey& task, std::uint32_t run,
               std::function<void(const RunReply&)> done) override;
-    void pace(const WorkerCall& call, const PaceCall& pace,
+    void pace(const WorkerCall& call, const ThrottleCall& pace,
               std::function<void(const RunReply&)> done) override;
     void hold(const WorkerCall& call, const HoldCall& hold,
               std::function<void(const HoldReply&)> done) override;
@@ -65,7 +65,7 @@
     bool isDown() const { return m_isDown; }
     bool isSuspended() const { return m_suspendedAt.has_value(); }
     const std::string& getId() const { return m_id; }
-    WorkerLife getLife() const { return {m_id, m_bornAt}; }
+    WorkerIncarnation getLife() const { return {m_id, m_processStartedAt}; }
     /** Number of the next heartbeat; counts from 1 in each process. */
     std::uint64_t countBeat() { return ++m_beats; }
     /** So many of the next starts are carried out this much later and not answered. */
@@ -95,7 +95,7 @@
     bool m_isSilent = false;
     std::size_t countRunning() const { return m_runs.size(); }
     bool isRunning(const TaskKey& task) const { return m_runs.count(task) != 0; }
-    std::uint64_t getLastKept() const { return m_lastKept; }
+    std::uint64_t getLastKept() const { return m_lastPersisted; }
     std::uint64_t getFence() const { return m_fence; }
     Millis getClock() const;
     /** What it started and ended, as JSON: rows of what, task, run, time in ms. */
@@ -105,7 +105,7 @@
 
 private:
     void takeHold(const HoldCall& hold);
-    void waitHeld(Millis until, unsigned lives, std::function<void(const HoldReply&)> done);
+    void waitHeld(Millis until, unsigned incarnations, std::function<void(const HoldReply&)> done);
     void note(const char* what, const TaskKey& task, std::uint32_t run);
     void noteLate(const char* call, const TaskKey& task, std::uint32_t run,
                   const RunReply& reply) const;
@@ -135,19 +135,19 @@
     RunWitness& m_witness;
     const std::string m_name;
     std::string m_id;
-    std::uint64_t m_bornAt = 0;
+    std::uint64_t m_processStartedAt = 0;
     std::uint64_t m_beats = 0;
     /** Ends up to here were listed when a lease was over: they count for nothing any more. */
     std::uint64_t m_lapsedThrough = 0;
     std::map<std::uint64_t, std::size_t> m_endEvents;
     bool m_isDown = false;
     std::optional<Millis> m_suspendedAt;
-    unsigned m_lives = 0;
+    unsigned m_incarnations = 0;
     Millis m_clockOffset{0};
     Millis m_until{0};
     std::uint64_t m_fence = 0;
     std::uint64_t m_nextEnd = 1;
-    std::uint64_t m_lastKept = 0;
+    std::uint64_t m_lastPersisted = 0;
     std::map<TaskKey, Run> m_runs;
     std::map<TaskKey, std::uint32_t> m_barred;
     std::vector<ListedEnd> m_ended;
--- a/test/support/JobFleet.cpp
+++ b/test/support/JobFleet.cpp
@@ -103,9 +103,9 @@
             reason);
     sidecar.m_registration = std::make_unique<Registration>(
             *sidecar.m_store, *sidecar.m_loop,
-            [agent = sidecar.m_agent.get()] { return agent->isLed(); });
+            [agent = sidecar.m_agent.get()] { return agent->hasLeader(); });
     sidecar.m_registration->start(getHostKey(sidecar.m_address));
-    beat(place);
+    heartbeat(place);
 }
 
 void JobFleet::killSidecar(std::size_t place) {
@@ -116,23 +116,23 @@
     sidecar.m_loop.reset();
 }
 
-WorkerBeat JobFleet::makeBeat(std::size_t place) {
+WorkerHeartbeat JobFleet::makeBeat(std::size_t place) {
     Sidecar& sidecar = m_sidecars[place];
-    WorkerBeat beat;
-    beat.m_life = sidecar.m_worker->getLife();
-    beat.m_service = "s";
-    beat.m_rack = "r" + std::to_string(place / 2);
-    beat.m_labels = {"a", beat.m_rack};
-    beat.m_capacity = sidecar.m_capacity;
-    beat.m_isDraining = sidecar.m_isDraining;
-    beat.m_remaining = sidecar.m_remaining;
-    beat.m_coldLeft = sidecar.m_coldLeft;
-    beat.m_failureDomain = "d" + std::to_string(place / 4);
-    beat.m_sequence = sidecar.m_worker->countBeat();
-    return beat;
-}
-
-void JobFleet::beat(std::size_t place) {
+    WorkerHeartbeat heartbeat;
+    heartbeat.m_incarnation = sidecar.m_worker->getLife();
+    heartbeat.m_service = "s";
+    heartbeat.m_rack = "r" + std::to_string(place / 2);
+    heartbeat.m_labels = {"a", heartbeat.m_rack};
+    heartbeat.m_capacity = sidecar.m_capacity;
+    heartbeat.m_isDraining = sidecar.m_isDraining;
+    heartbeat.m_remaining = sidecar.m_remaining;
+    heartbeat.m_coldLeft = sidecar.m_coldLeft;
+    heartbeat.m_failureDomain = "d" + std::to_string(place / 4);
+    heartbeat.m_sequence = sidecar.m_worker->countBeat();
+    return heartbeat;
+}
+
+void JobFleet::heartbeat(std::size_t place) {
     Sidecar& sidecar = m_sidecars[place];
     if (sidecar.m_agent == nullptr || sidecar.m_isMute || sidecar.m_worker->isDown() ||
         sidecar.m_worker->isSuspended()) {
@@ -141,8 +141,8 @@
     deliver(place, makeBeat(place));
 }
 
-void JobFleet::deliver(std::size_t place, const WorkerBeat& beat) {
-    m_sidecars[place].m_agent->handleBeat(beat);
+void JobFleet::deliver(std::size_t place, const WorkerHeartbeat& heartbeat) {
+    m_sidecars[place].m_agent->handleHeartbeat(heartbeat);
 }
 
 void JobFleet::setRestartForm(RestartForm form) {
@@ -153,7 +153,7 @@
 
 void JobFleet::keepBeating() {
     for (std::size_t i = 0; i < m_sidecars.size(); ++i) {
-        beat(i);
+        heartbeat(i);
     }
     m_loop.callLater(BEAT_INTERVAL, [this] { keepBeating(); });
 }
--- a/test/support/JobFleet.h
+++ b/test/support/JobFleet.h
@@ -70,10 +70,10 @@
     void killGateway(std::size_t place);
     void startSidecar(std::size_t place);
     void killSidecar(std::size_t place);
-    void beat(std::size_t place);
+    void heartbeat(std::size_t place);
     /** What a worker would say of itself now; delivered later, it is a delayed heartbeat. */
-    WorkerBeat makeBeat(std::size_t place);
-    void deliver(std::size_t place, const WorkerBeat& beat);
+    WorkerHeartbeat makeBeat(std::size_t place);
+    void deliver(std::size_t place, const WorkerHeartbeat& heartbeat);
     /** All workers are back after crashes in this form. */
     void setRestartForm(RestartForm form);
 
--- a/test/support/JobFleetTest.h
+++ b/test/support/JobFleetTest.h
@@ -66,7 +66,7 @@
     }
 
     /** A sidecar that knows nothing hears first what a process that is over once said. */
-    void restartSidecarUnder(std::size_t place, const WorkerBeat& former) {
+    void restartSidecarUnder(std::size_t place, const WorkerHeartbeat& former) {
         m_fleet.killSidecar(place);
         getSidecar(place).m_isMute = true;
         m_fleet.startSidecar(place);
--- a/test/support/RunWitness.h
+++ b/test/support/RunWitness.h
@@ -21,7 +21,7 @@
     void noteDone(const TaskKey& task) { m_done.insert(task); }
     void noteKept(const TaskKey& task) { m_kept.insert(task); }
     /** A run ended; the number names this end, and rises. */
-    std::size_t noteEnd() { return ++m_events; }
+    std::size_t recordRunEnd() { return ++m_events; }
     /** That end was taken note of, in time: what it counts for counts from when it came. */
     void noteCounted(const TaskKey& task, RunEnd how, std::size_t end);
     /** Runs of a task that may end as failed before it is not started any more; zero: any. */
