--- a/libs/job/include/pierbank/job/TaskPlanner.h
+++ b/libs/job/include/pierbank/job/TaskPlanner.h
@@ -16,151 +16,176 @@
 
 namespace pierbank {
 
-/** A worker as the planner sees it. */
+/** Snapshot of a worker: its place in the topology, its capacity and its state. */
 struct WorkerSnapshot {
     WorkerId m_id;
+    /** Only jobs of this service run on the worker. */
     std::string m_service;
     std::string m_failureDomain;
     std::string m_rack;
     std::set<std::string, std::less<>> m_labels;
     Resources m_capacity;
-    /** What it had before its room shrank, and may have again; less than m_capacity for unknown. */
+    /** Capacity before it shrank, to which it may grow again; below m_capacity if unknown. */
     Resources m_fullCapacity;
-    /** New runs may be placed on it. */
+    /** Whether new runs may be placed on the worker. */
     bool m_acceptsWork = false;
-    /** It leaves, in this time at the earliest, and what runs there dies; empty: it stays. */
+    /** Minimum time until the worker leaves, which kills its runs; empty if it does not leave. */
     std::optional<Millis> m_leavesIn;
-    /** Its failure domain is under evacuation: nothing may begin there, and what lasts moves off.
+    /**
+     * Whether the failure domain is under evacuation: no run starts there, and lasting tasks move
+     * to other failure domains.
      */
     bool m_isEvacuated = false;
-    /** Runs failed there lately: work that a failure costs much goes elsewhere if it can. */
+    /** Whether runs failed there recently; work that is costly to lose avoids suspect hosts. */
     bool m_isSuspect = false;
-    /** Work takes so many times the declared time there, as far as was seen; 1 is normal. */
+    /** Observed run time of tasks there as a multiple of the declared time; 1 is normal. */
     double m_slowness = 1.0;
 };
 
-/** Lives of workers that may run a step, by the step's occurrence and place. */
+/**
+ * Incarnations of workers that the placement advice allows for a step, by the number of the
+ * occurrence and the index of the step within the job.
+ */
 using AdvisedWorkers = std::map<std::pair<std::uint32_t, std::uint32_t>, std::set<std::string>>;
 
-/** A job of which something may still have to run. */
+/** A job that may have tasks left to run, with its state. */
 struct PlannedJob {
     const JobRecord* m_record = nullptr;
     const JobRun* m_run = nullptr;
-    /** For queues with advice: what was advised so far; null for none. */
+    /** Advised workers so far, for a queue with placement advice; null if there are none. */
     const AdvisedWorkers* m_advised = nullptr;
 };
 
-/** Weights and bounds of the decisions. */
+/** Weights and limits of the planner's decisions. */
 struct TaskPlannerSettings {
-    /** Work away from its data, or a gang over several racks, takes so many times as long. */
+    /** Run time factor of tasks outside the rack of their data, and of gangs on several racks. */
     double m_farFactor = 3.0;
-    /** Work that misses its objective by so many times its length earns nothing (users' rule). */
+    /**
+     * Work is hopeless, and goes last within its priority, when it will miss its objective by more
+     * than this multiple of the span from its due time to its objective. The platform's contract
+     * gives no credit for work that is so late.
+     */
     std::int64_t m_hopelessFactor = 2;
-    /** Urgent work beyond its organisation's guarantee preempts only while that throws away at most
-     * so many core-seconds, and so many times its own work more. */
+    /**
+     * Urgent work beyond its organisation's guarantee preempts other runs only if the work lost by
+     * them is at most `m_maxWastedWork` core-seconds plus `m_maxWastePerOwnWork` times its own
+     * declared work.
+     */
     double m_maxWastedWork = 100.0;
     double m_maxWastePerOwnWork = 0.7;
-    /** Urgent work waits for running work to end before it preempts: up to this share of its own
-     * declared time, and at most `m_maxWait` since it was handed in. */
+    /**
+     * Before urgent work preempts other runs, it waits for runs that are about to end. The wait,
+     * counted from its due time, is limited to this share of its declared time and to
+     * `m_maxPreemptionDelay`.
+     */
     double m_waitShare = 0.35;
-    Millis m_maxWait{1200};
+    Millis m_maxPreemptionDelay{1200};
     /**
-     * A unit that waited for so many times its declared time, and at least so long, is starved:
-     * workers are claimed for it, on which only work that ends before then may still start. Both
-     * are far above what waits on a deployment with room (MEASUREMENTS.md).
+     * A unit is starved when it has waited for this multiple of its declared time and for at least
+     * `m_minStarvationWait`. Workers are then reserved for it; only work that ends before the
+     * reservation starts may still be placed on them. Both bounds are far above the waits that
+     * occur when the workers have sufficient capacity.
      */
     std::int64_t m_starvationFactor = 10;
     Millis m_minStarvationWait{60'000};
-    /** Starved units that have claims at a time; each keeps workers idle. */
+    /** Maximum number of starved units with reservations; each reservation keeps workers idle. */
     std::size_t m_maxReservations = 2;
-    /** 0 to 100: how far large units go before small ones that are due sooner. */
+    /** 0 to 100: how strongly large units are preferred to small units with earlier objectives. */
     std::uint32_t m_fragmentationWeight = 0;
-    /** A task that may be copied is, when it would take so many times its declared time longer. */
+    /** A task gets a speculative copy when it still needs this multiple of its declared time. */
     double m_copyFactor = 1.5;
     /**
-     * Accelerators by service that only urgent work gets, those that it has included; whole workers
-     * are kept. At most `m_maxHeadroomShare` of a service's.
+     * Headroom for urgent work by service, in accelerators; workers on which urgent work already
+     * runs count too. Only whole workers are kept free, with at most `m_maxHeadroomShare` of the
+     * service's accelerators.
      */
     std::map<std::string, std::uint32_t> m_urgentHeadroom;
     double m_maxHeadroomShare = 0.25;
     /**
-     * While a service's workers are hardly half in use, a unit that waited so long gets reserved
-     * workers too, if its job has nothing running: no job may have nothing for 3 s beside room that
-     * stands idle (users' rule).
+     * While the utilization of a service's workers is below `m_lowUtilization` for some resource,
+     * the headroom also takes units that have waited this long and whose job has no active run.
+     * The platform's contract does not allow a job to be without a run for 3 s while capacity is
+     * idle.
      */
     Millis m_headroomReleaseWait{1800};
     double m_lowUtilization = 0.55;
     /**
-     * What a worker that takes twice the time counts for in the choice of workers, in accelerators
-     * of room left: urgent work looks for fast ones before it looks for little room left, other
-     * work leaves them to it. +0.0375 +- 0.0121 of a day's worth on 240 hosts (15 paired plays).
+     * Weight of a worker's slowness against free capacity in the choice of a worker: a worker that
+     * takes twice the declared time is rated like one with this many more accelerators left free.
+     * Urgent work prefers fast workers to well-packed ones. Other work has a negative weight, which
+     * leaves the fast workers to urgent work. Both together raise the value of the completed work.
      */
     double m_urgentSpeedWeight = 20.0;
-    double m_otherSpeedWeight = -8.0;
+    double m_nonUrgentSpeedWeight = -8.0;
     /**
-     * Where others give way, a slow worker costs so many times what it takes longer: the whole unit
-     * waits for its slowest member. With the kept workers chosen by speed too, +0.0058 +- 0.0135 of
-     * a day's worth on 240 hosts (15 paired plays; +0.0200 +- 0.0086 in another setting).
+     * Weight of a worker's slowness in the choice of victims: the additional run time on a slow
+     * worker is multiplied by this factor, since all members of a unit wait for the slowest one.
+     * The headroom prefers fast workers as well, so that the benefit of this weight is small.
      */
-    double m_evictionSpeedWeight = 3.0;
-    /** Units keep off hosts that failed them, and off suspect ones if a failure costs them much. */
+    double m_preemptionSpeedWeight = 3.0;
+    /** Units avoid hosts on which they failed, and suspect hosts if they are costly to lose. */
     bool m_excludesFailedHosts = true;
-    /** Work moves off workers that leave before it would end. */
+    /** Tasks migrate from workers that leave before the tasks would end. */
     bool m_migratesOffLeaving = true;
-    /** Slow tasks that may be copied are. */
+    /** Slow tasks of speculative steps get a second run on another worker. */
     bool m_copies = true;
-    /** A stopped lasting task counts as away until it has run elsewhere for so long. */
+    /** A restarted lasting task counts as unavailable until it has run for this long. */
     Millis m_settleTime{5000};
 };
 
-/** One run to be started. Members of a gang come together. */
+/** One run to start. A plan has placements for all members of a gang or for none. */
 struct Placement {
     TaskKey m_task;
     WorkerId m_worker;
 };
 
-/** One run to be stopped. */
+/** One run to stop. */
 struct Stop {
     TaskKey m_task;
     std::uint32_t m_run = 0;
     std::string m_explanation;
 };
 
-/** Why a unit of work was placed or waits. */
+/** Explains to users and operators why a unit was placed or waits. */
 struct PlanExplanation {
     enum class Kind {
         PLACED,
         WAITS,
-        /** No worker that is known could hold it even when idle. */
+        /** The known workers could not run the unit even when idle. */
         CANNOT_RUN,
     };
+    /** Id of the unit's job. */
     std::string m_job;
     Kind m_kind = Kind::WAITS;
     std::string m_text;
 };
 
-/** Why a unit of urgent work got no room at once; the first such unit of its job. */
+/** Why the first waiting unit of an urgent job could not be placed at once. */
 struct UrgentWait {
     enum class Cause {
-        /** Runs that are being stopped. */
+        /** Runs on the unit's workers are being stopped. */
         STOPS,
-        /** Runs that are about to end by themselves. */
+        /** Runs on the unit's workers are expected to end soon. */
         ENDS,
-        /** What would have to give way is worth more. */
-        ROOM,
-        /** No workers that it may use could make room. */
+        /** The runs that would have to be preempted are worth more than the unit. */
+        CAPACITY,
+        /** No worker that the unit may use can free enough capacity, or preemption is not allowed.
+         */
         WORKERS,
     };
+    /** Id of the job, owned by the job's record. */
     std::string_view m_job;
     Cause m_cause = Cause::WORKERS;
+    /** Whether the guarantee of the job's organisation covers the job. */
     bool m_isGuaranteed = false;
-    /** Core-seconds that give way, or would have to. */
+    /** Core-seconds of work that preemption throws away, or would have to. */
     double m_loss = 0;
 };
 
-std::string_view toText(UrgentWait::Cause what);
+/** Returns the name of the cause for the log. */
+std::string_view toText(UrgentWait::Cause cause);
 
-/** A task's place in its job, by a name that somebody else holds. */
+/** Non-owning reference to a task; the job's id must outlive it. */
 struct TaskRef {
     std::string_view m_job;
     std::uint32_t m_occurrence = 0;
@@ -169,68 +194,76 @@
 
     TaskRef(std::string_view job, std::uint32_t occurrence, std::uint32_t step, std::uint32_t index)
             : m_job(job), m_occurrence(occurrence), m_step(step), m_index(index) {}
-    // NOLINTNEXTLINE(google-explicit-constructor): a key is one way to name a task.
+    // NOLINTNEXTLINE(google-explicit-constructor): a key identifies a task.
     TaskRef(const TaskKey& key) : TaskRef(key.m_job, key.m_occurrence, key.m_step, key.m_index) {}
 };
 
-/** Tells how long runs go on. Asked only for the runs that a decision depends on. */
+/** Estimates when runs end. Queried only for the runs on which a decision depends. */
 class RunForecast {
 public:
     virtual ~RunForecast() = default;
-    /** Time until the run of a task on a host ends; empty when nothing tells. */
+    /** Returns the time until the run of a task on a host ends; empty if it cannot be estimated. */
     virtual std::optional<Millis> getRemaining(std::string_view host,
                                                const TaskRef& task) const = 0;
 };
 
-/** What a plan is made from. All of it must outlive the call. */
+/** Input of TaskPlanner::plan(). Everything that it refers to must outlive the returned plan. */
 struct PlanInput {
     std::span<const WorkerSnapshot> m_workers;
     std::span<const PlannedJob> m_jobs;
     const RunForecast& m_forecast;
-    /** Accelerators that belong to each organisation for priority 0. */
+    /** Accelerators guaranteed to each organisation for its jobs of priority 0. */
     const std::map<std::string, std::uint32_t>& m_guarantees;
     Millis m_wallNow{0};
-    /** Notes are made; they take longer than the plan when thousands of units wait. */
+    /**
+     * Fills TaskPlan::m_explanations, which takes longer than the planning itself when thousands of
+     * units wait.
+     */
     bool m_withExplanations = true;
-    /** Others may be stopped for urgent work. Not while workers that may have room are unknown. */
+    /** Allows preemption. False while workers that may have free capacity are not known yet. */
     bool m_mayPreempt = true;
 };
 
+/** Decisions of one planning pass. */
 struct TaskPlan {
     std::vector<Placement> m_placements;
-    /** Second runs of tasks that are slow where they are. */
+    /** Second runs of tasks that run slowly. */
     std::vector<Placement> m_copies;
-    /** Runs that give way to others, or move off workers that leave. */
+    /** Runs that are preempted or migrated. */
     std::vector<Stop> m_stops;
-    /** Only if they were asked for. */
+    /** Empty unless PlanInput::m_withExplanations is set. */
     std::vector<PlanExplanation> m_explanations;
-    /** Urgent jobs that wait; they name jobs of the input. */
+    /** Urgent jobs with waiting units; they refer to job ids of the input. */
     std::vector<UrgentWait> m_urgentWaits;
-    /** Units that found no place: time alone may change that. */
+    /** Number of units left unplaced; the passing of time alone may make a later pass place them.
+     */
     std::size_t m_waiting = 0;
 };
 
 /**
- * Decides which waiting tasks start where, and which running ones give way. Pure: the same input
- * gives the same plan.
+ * Decides where waiting tasks start, and which active runs are preempted or migrated. The planner
+ * has no state: the same input gives the same plan.
  *
- * Units of work (a gang, or a single task) are tried in order: priority 0 within its organisation's
- * guarantee, other priority 0, then by priority; within one priority those first that still meet
- * their objective, nearest objective first. Priority 0 preempts what costs least; guaranteed
- * work also preempts priority 0 beyond its organisation's guarantee. A starved unit claims workers.
- * At last come copies of slow tasks, and work that moves off leaving workers.
+ * Units of work (a gang, or a single task) are placed in this order: priority 0 within the
+ * guarantee of its organisation, other work of priority 0, then the other priorities. Within one
+ * priority, units that can still meet their objective go first, the nearest objective before the
+ * others. Units of priority 0 preempt the runs that are the cheapest to stop; guaranteed units may
+ * also preempt runs of priority 0 that no guarantee covers. Workers are reserved for starved units.
+ * Finally, slow tasks get copies, and tasks migrate from leaving workers.
  *
- * Reservations for starved work with backfill before them are those of EASY (Lifka, 1995).
+ * Reservations with backfill follow the EASY scheduler (Lifka, 1995).
  */
 class TaskPlanner {
 public:
     explicit TaskPlanner(const TaskPlannerSettings& settings) : m_settings(settings) {}
 
+    /** Plans one pass. Units that cannot be placed are counted and explained. */
     TaskPlan plan(const PlanInput& input) const;
 
     /**
-     * @param remaining time until running tasks end, as far as it is known.
-     * @param guarantees accelerators that belong to each organisation for priority 0.
+     * Plans one pass with explanations and preemption.
+     * @param remaining time until the runs of tasks end, where it is known.
+     * @param guarantees accelerators guaranteed to each organisation for its jobs of priority 0.
      */
     TaskPlan plan(const std::vector<WorkerSnapshot>& workers, const std::vector<PlannedJob>& jobs,
                   const std::map<TaskKey, Millis>& remaining,
@@ -240,16 +273,17 @@
     const TaskPlannerSettings m_settings;
 };
 
-/** Longest chain of declared work of what is not done yet. */
-Millis estimateRemainingChain(const JobSpec& spec, const OccurrenceRun& occurrence);
+/** Returns the declared time of the critical path through the steps that are not done. */
+Millis estimateRemainingCriticalPath(const JobSpec& spec, const OccurrenceRun& occurrence);
 
-/** Longest chain of declared work of a job. */
-Millis estimateChain(const JobSpec& spec);
+/** Returns the declared time of the critical path through all steps of a job. */
+Millis estimateCriticalPath(const JobSpec& spec);
 
-/** How long after it is handed in, or due, a job should be done. */
+/** Returns the time from a job's acceptance, or an occurrence's due time, to its objective. */
 Millis getObjectiveSpan(const JobRecord& record);
 
-/** Cores that a need is worth: an accelerator weighs as much as eight (users' price list). */
+/** Returns the value of resources in cores; an accelerator counts as eight cores, as in the
+ * platform's price list. */
 double getCores(const Resources& need);
 
 }  // namespace pierbank
--- a/libs/job/src/PlanningPass.cpp
+++ b/libs/job/src/PlanningPass.cpp
@@ -8,26 +8,25 @@
 
 namespace {
 
-/** Most accelerators that a step of a job takes at a time. */
-std::uint32_t countMostAccelerators(const JobSpec& spec) {
-    std::uint32_t most = 0;
+/** Returns the accelerators that the largest step of a job needs for all its tasks. */
+std::uint32_t getPeakAccelerators(const JobSpec& spec) {
+    std::uint32_t peak = 0;
     for (const StepSpec& step : spec.m_steps) {
-        most = std::max(most, step.m_tasks * step.m_need.m_accelerators);
+        peak = std::max(peak, step.m_tasks * step.m_need.m_accelerators);
     }
-    return most;
+    return peak;
 }
 
-/** Numbers names in their order; an empty one is no part. */
-std::map<std::string_view, PartNumber> numberNames(
-        std::span<const WorkerSnapshot> workers,
-        std::string_view (*getName)(const WorkerSnapshot&)) {
-    std::map<std::string_view, PartNumber> numbers;
+/** Numbers the names of one topology level in ascending order; an empty name gets ANY_DOMAIN. */
+std::map<std::string_view, DomainId> assignIds(std::span<const WorkerSnapshot> workers,
+                                               std::string_view (*getName)(const WorkerSnapshot&)) {
+    std::map<std::string_view, DomainId> numbers;
     for (const WorkerSnapshot& worker : workers) {
-        numbers.emplace(getName(worker), ANY_PART);
+        numbers.emplace(getName(worker), ANY_DOMAIN);
     }
-    PartNumber next = 0;
+    DomainId next = 0;
     for (auto& [name, number] : numbers) {
-        number = name.empty() ? ANY_PART : next++;
+        number = name.empty() ? ANY_DOMAIN : next++;
     }
     return numbers;
 }
@@ -35,37 +34,38 @@
 }  // namespace
 
 std::uint32_t WorkUnit::countAccelerators() const {
-    return getSpec().m_need.m_accelerators * static_cast<std::uint32_t>(m_indexes.size());
+    return getSpec().m_need.m_accelerators * static_cast<std::uint32_t>(m_taskIndexes.size());
 }
 
 PlanningPass::PlanningPass(const TaskPlannerSettings& settings, const PlanInput& input)
         : m_settings(settings), m_input(input), m_wallNow(input.m_wallNow) {
-    m_rooms.reserve(input.m_workers.size());
+    m_workerStates.reserve(input.m_workers.size());
     for (const WorkerSnapshot& worker : input.m_workers) {
-        m_slots.emplace(worker.m_id.m_host, m_rooms.size());
+        m_slots.emplace(worker.m_id.m_host, m_workerStates.size());
         if (worker.m_isSuspect) {
-            m_suspects.push_back(m_rooms.size());
+            m_suspectSlots.push_back(m_workerStates.size());
         }
-        Room& room = m_rooms.emplace_back();
-        room.m_view = &worker;
-        room.m_free = worker.m_capacity;
-        m_largestWorker = std::max(m_largestWorker, worker.m_capacity.m_accelerators);
+        WorkerState& state = m_workerStates.emplace_back();
+        state.m_snapshot = &worker;
+        state.m_free = worker.m_capacity;
+        m_maxWorkerAccelerators =
+                std::max(m_maxWorkerAccelerators, worker.m_capacity.m_accelerators);
     }
-    m_begun.resize(input.m_jobs.size());
+    m_hasPlacements.resize(input.m_jobs.size());
     m_wasIdle.resize(input.m_jobs.size());
-    numberParts();
+    assignDomainIds();
     findGuaranteed();
-    takeRooms();
-    findOvercommitted();
-    addGangLosses();
+    collectActiveRuns();
+    computeFreeCapacity();
+    addGangCosts();
     sortOccupants();
-    reserveForUrgent();
+    setAsideHeadroom();
 }
 
 TaskPlan PlanningPass::run() {
     const std::vector<WaitingStep> steps = collectSteps();
     for (const WaitingStep& step : steps) {
-        m_plan.m_waiting += step.m_spec->m_isGang ? 1 : step.m_indexes.size();
+        m_plan.m_waiting += step.m_spec->m_isGang ? 1 : step.m_taskIndexes.size();
     }
     for (const WaitingStep& step : steps) {
         placeStep(step);
@@ -74,30 +74,33 @@
         copySlowTasks();
     }
     if (m_settings.m_migratesOffLeaving) {
-        moveOffLeaving();
+        migrateOffLeaving();
     }
     return std::move(m_plan);
 }
 
-void PlanningPass::numberParts() {
+void PlanningPass::assignDomainIds() {
     const auto workers = m_input.m_workers;
-    const auto hosts = numberNames(workers, [](const WorkerSnapshot& worker) {
+    const auto hosts = assignIds(workers, [](const WorkerSnapshot& worker) {
         return std::string_view(worker.m_id.m_host);
     });
-    const auto racks = numberNames(
+    const auto racks = assignIds(
             workers, [](const WorkerSnapshot& worker) { return std::string_view(worker.m_rack); });
-    const auto domains = numberNames(workers, [](const WorkerSnapshot& worker) {
+    const auto failureDomains = assignIds(workers, [](const WorkerSnapshot& worker) {
         return std::string_view(worker.m_failureDomain);
     });
-    for (Room& room : m_rooms) {
-        room.m_host = hosts.at(room.m_view->m_id.m_host);
-        room.m_rack = racks.at(room.m_view->m_rack);
-        room.m_failureDomain = domains.at(room.m_view->m_failureDomain);
+    for (WorkerState& state : m_workerStates) {
+        state.m_host = hosts.at(state.m_snapshot->m_id.m_host);
+        state.m_rack = racks.at(state.m_snapshot->m_rack);
+        state.m_failureDomain = failureDomains.at(state.m_snapshot->m_failureDomain);
     }
     m_racks.insert(racks.begin(), racks.end());
 }
 
-/** In the order of acceptance, jobs are covered as long as the guarantee holds them all. */
+/**
+ * Marks urgent jobs as guaranteed, in the order of their acceptance, while the guarantee of their
+ * organisation has enough accelerators left for the largest step of the job.
+ */
 void PlanningPass::findGuaranteed() {
     m_guaranteed.resize(m_input.m_jobs.size());
     std::vector<std::size_t> urgent;
@@ -112,36 +115,37 @@
         const JobRecord& right = *m_input.m_jobs[b].m_record;
         return std::tie(left.m_acceptedAt, left.m_id) < std::tie(right.m_acceptedAt, right.m_id);
     });
-    std::map<std::string, std::uint32_t> left = m_input.m_guarantees;
+    std::map<std::string, std::uint32_t> unusedGuarantees = m_input.m_guarantees;
     for (const std::size_t job : urgent) {
         const JobRecord& record = *m_input.m_jobs[job].m_record;
-        const std::uint32_t need = countMostAccelerators(record.m_spec);
-        std::uint32_t& room = left[record.m_organisation];
-        if (need <= room) {
-            room -= need;
+        const std::uint32_t need = getPeakAccelerators(record.m_spec);
+        std::uint32_t& unused = unusedGuarantees[record.m_organisation];
+        if (need <= unused) {
+            unused -= need;
             m_guaranteed[job] = true;
         }
     }
 }
 
-// What runs.
+// Active runs.
 
-void PlanningPass::takeRooms() {
+void PlanningPass::collectActiveRuns() {
     for (std::size_t job = 0; job < m_input.m_jobs.size(); ++job) {
         for (const OccurrenceRun& occurrence : m_input.m_jobs[job].m_run->m_occurrences) {
             for (std::uint32_t step = 0; step < occurrence.m_steps.size(); ++step) {
-                takeStep(job, occurrence, step);
+                collectActiveRunsOfStep(job, occurrence, step);
             }
         }
     }
 }
 
-void PlanningPass::takeStep(std::size_t job, const OccurrenceRun& occurrence, std::uint32_t step) {
+void PlanningPass::collectActiveRunsOfStep(std::size_t job, const OccurrenceRun& occurrence,
+                                           std::uint32_t step) {
     const JobRecord& record = *m_input.m_jobs[job].m_record;
     const StepRun& run = occurrence.m_steps[step];
     const std::size_t first = m_occupants.size();
     Occupant occupant;
-    occupant.m_job = job;
+    occupant.m_jobIndex = job;
     occupant.m_step = &run;
     occupant.m_spec = &record.m_spec.m_steps[step];
     occupant.m_group = m_groups.size();
@@ -155,8 +159,8 @@
             occupant.m_index = i;
             occupant.m_run = task.m_run;
             occupant.m_placedAt = task.m_placedAt;
-            takeRun(occupant, task.m_worker, task.m_state == TaskState::STOPPING);
-            noteRisk(task);
+            addActiveRun(occupant, task.m_worker, task.m_state == TaskState::STOPPING);
+            recordSuspectRun(task);
         }
     }
     occupant.m_isCopy = true;
@@ -164,83 +168,84 @@
         occupant.m_index = copy.m_index;
         occupant.m_run = copy.m_run;
         occupant.m_placedAt = copy.m_placedAt;
-        takeRun(occupant, copy.m_worker, copy.m_isStopping);
+        addActiveRun(occupant, copy.m_worker, copy.m_isStopping);
     }
     if (m_occupants.size() > first) {
         m_groups.push_back({first, m_occupants.size()});
     }
 }
 
-void PlanningPass::noteRisk(const TaskRun& task) {
+void PlanningPass::recordSuspectRun(const TaskRun& task) {
     const auto slot = findSlot(task.m_worker);
     if (slot.has_value() && task.m_losses.isRisk(m_wallNow - task.m_placedAt)) {
-        m_rooms[*slot].m_isAtRisk = true;
-        m_hasRisks = true;
+        m_workerStates[*slot].m_hasSuspectRun = true;
+        m_hasSuspectRuns = true;
     }
 }
 
-void PlanningPass::takeRun(const Occupant& run, const WorkerId& worker, bool isStopping) {
+void PlanningPass::addActiveRun(const Occupant& run, const WorkerId& worker, bool isStopping) {
     const auto slot = findSlot(worker);
     if (!slot.has_value()) {
         return;
     }
     const StepSpec& spec = *run.m_spec;
-    Room& room = m_rooms[*slot];
-    room.m_over += spec.getCapacityDemand();
-    ++room.m_runs;
+    WorkerState& state = m_workerStates[*slot];
+    state.m_overcommitted += spec.getCapacityDemand();
+    ++state.m_runCount;
     if (isStopping) {
-        room.m_leaving += spec.getCapacityDemand();
+        state.m_releasing += spec.getCapacityDemand();
         return;
     }
     Occupant& occupant = m_occupants.emplace_back(run);
     occupant.m_slot = *slot;
     const double elapsed = static_cast<double>((m_wallNow - run.m_placedAt).count());
-    // A stop saves all progress of a task that saves any; but each stop costs a stop and a start.
+    // A task that saves progress loses none when it is stopped, but each preemption costs the time
+    // of a stop and a restart.
     constexpr double RESTART_MS = 300.0;
-    const bool losesNothing = spec.m_savesProgress || run.m_isCopy;
-    const double lost = losesNothing ? 0.0 : std::max(0.0, elapsed);
-    occupant.m_loss = getCores(spec.m_need) * (lost + RESTART_MS);
+    const bool losesNoProgress = spec.m_savesProgress || run.m_isCopy;
+    const double lost = losesNoProgress ? 0.0 : std::max(0.0, elapsed);
+    occupant.m_preemptionCost = getCores(spec.m_need) * (lost + RESTART_MS);
 }
 
-/** Until here m_over holds all that runs. */
-void PlanningPass::findOvercommitted() {
-    for (Room& room : m_rooms) {
-        const Resources used = room.m_over;
-        room.m_free -= used;
-        room.m_over -= room.m_view->m_capacity;
-        const Resources stopping = room.m_leaving;
-        room.m_leaving = Resources();
-        giveBack(room.m_leaving, room.m_over, stopping);
+/** Computes the free capacity; m_overcommitted contains the demand of all active runs before. */
+void PlanningPass::computeFreeCapacity() {
+    for (WorkerState& state : m_workerStates) {
+        const Resources used = state.m_overcommitted;
+        state.m_free -= used;
+        state.m_overcommitted -= state.m_snapshot->m_capacity;
+        const Resources stopping = state.m_releasing;
+        state.m_releasing = Resources();
+        releaseCapacity(state.m_releasing, state.m_overcommitted, stopping);
     }
 }
 
 std::optional<WorkerSlot> PlanningPass::findSlot(const WorkerId& worker) const {
     const auto [begin, end] = m_slots.equal_range(worker.m_host);
     const auto found = std::find_if(begin, end, [&](const auto& entry) {
-        return m_rooms[entry.second].m_view->m_id.m_incarnation == worker.m_incarnation;
+        return m_workerStates[entry.second].m_snapshot->m_id.m_incarnation == worker.m_incarnation;
     });
     return found == end ? std::nullopt : std::optional(found->second);
 }
 
-/** A gang that gives way does so whole. */
-void PlanningPass::addGangLosses() {
+/** Gives each member the cost of its whole gang, since gangs are only preempted as a whole. */
+void PlanningPass::addGangCosts() {
     for (const OccupantGroup& group : m_groups) {
         if (!m_occupants[group.m_first].m_spec->m_isGang) {
             continue;
         }
-        double loss = 0;
+        double preemptionCost = 0;
         for (std::size_t i = group.m_first; i < group.m_end; ++i) {
-            loss += m_occupants[i].m_loss;
+            preemptionCost += m_occupants[i].m_preemptionCost;
         }
         for (std::size_t i = group.m_first; i < group.m_end; ++i) {
-            m_occupants[i].m_loss = loss;
+            m_occupants[i].m_preemptionCost = preemptionCost;
         }
     }
 }
 
-/** Those that give way first come first: lower work, then what loses least. */
+/** Sorts the occupants of each worker: non-urgent ones first, then by ascending cost. */
 void PlanningPass::sortOccupants() {
-    m_occupantsOn.resize(m_rooms.size());
+    m_occupantsOn.resize(m_workerStates.size());
     for (std::size_t i = 0; i < m_occupants.size(); ++i) {
         m_occupantsOn[m_occupants[i].m_slot].push_back(i);
     }
@@ -248,8 +253,8 @@
         std::stable_sort(occupants.begin(), occupants.end(), [this](std::size_t a, std::size_t b) {
             const Occupant& left = m_occupants[a];
             const Occupant& right = m_occupants[b];
-            return std::tie(left.m_isUrgent, left.m_loss) <
-                   std::tie(right.m_isUrgent, right.m_loss);
+            return std::tie(left.m_isUrgent, left.m_preemptionCost) <
+                   std::tie(right.m_isUrgent, right.m_preemptionCost);
         });
     }
 }
@@ -260,93 +265,101 @@
 }
 
 const JobRecord& PlanningPass::getRecord(const Occupant& occupant) const {
-    return *m_input.m_jobs[occupant.m_job].m_record;
+    return *m_input.m_jobs[occupant.m_jobIndex].m_record;
 }
 
-/** Copies are not told apart from the runs that they are beside. */
+/** Empty for copies: forecasts do not distinguish a copy from the task's first run. */
 std::optional<Millis> PlanningPass::getRemaining(const Occupant& occupant) const {
     if (occupant.m_isCopy) {
         return std::nullopt;
     }
     const TaskRef task{getRecord(occupant).m_id, occupant.m_occurrence, occupant.m_stepNumber,
                        occupant.m_index};
-    return m_input.m_forecast.getRemaining(m_rooms[occupant.m_slot].m_view->m_id.m_host, task);
+    return m_input.m_forecast.getRemaining(m_workerStates[occupant.m_slot].m_snapshot->m_id.m_host,
+                                           task);
 }
 
-// Placing what waits.
+// Placement of waiting units.
 
 void PlanningPass::placeStep(const WaitingStep& step) {
-    // Bars depend on where the step's tasks run already, so they come before any is placed.
+    // Excluded hosts depend on the tasks that run already, so that they are determined for all
+    // units before the first one is placed.
     std::vector<WorkUnit> units;
-    const std::span<const std::uint32_t> indexes(step.m_indexes);
+    const std::span<const std::uint32_t> indexes(step.m_taskIndexes);
     const std::size_t size = step.m_spec->m_isGang ? indexes.size() : 1;
     for (std::size_t i = 0; i < indexes.size(); i += size) {
         units.push_back({&step, indexes.subspan(i, size), {}});
-        barHosts(units.back());
+        excludeHosts(units.back());
     }
     for (WorkUnit& unit : units) {
-        keepOffRisks(unit);
+        avoidSuspectRuns(unit);
         placeUnit(unit);
     }
 }
 
 void PlanningPass::placeUnit(const WorkUnit& unit) {
-    const bool mayBeLike = !unit.isUrgent() && !unit.m_of->m_needsAdvice &&
-                           unit.getSpec().m_maxPerWorker == 0 && !isStarved(unit);
-    if (!mayBeLike) {
+    const bool isCacheable = !unit.isUrgent() && !unit.m_waitingStep->m_needsAdvice &&
+                             unit.getSpec().m_maxPerWorker == 0 && !isStarved(unit);
+    if (!isCacheable) {
         if (!placeOrWait(unit)) {
-            noteWait(unit);
-            claimFor(unit);
+            addWaitExplanation(unit);
+            reserveFor(unit);
         }
         return;
     }
-    const auto known = m_roomless.find(getLikeness(unit));
-    if (known != m_roomless.end() && unit.m_indexes.size() >= known->second.m_members) {
-        if (unit.m_indexes.size() == known->second.m_members) {
-            note(unit, known->second.m_note.m_kind, known->second.m_note.m_text);
+    const auto known = m_failedPlacements.find(getUnitClass(unit));
+    if (known != m_failedPlacements.end() &&
+        unit.m_taskIndexes.size() >= known->second.m_memberCount) {
+        if (unit.m_taskIndexes.size() == known->second.m_memberCount) {
+            addExplanation(unit, known->second.m_explanation.m_kind,
+                           known->second.m_explanation.m_text);
         } else {
-            // A larger one may be too large for any worker.
-            noteWait(unit);
+            // The explanation is not reused: a larger unit may be too large for any worker.
+            addWaitExplanation(unit);
         }
     } else if (!placeOrWait(unit)) {
-        noteWait(unit);
-        noteRoomless(unit);
+        addWaitExplanation(unit);
+        recordFailedPlacement(unit);
     }
 }
 
-/** What keeps off some hosts tells nothing of others that may go there. */
-void PlanningPass::noteRoomless(const WorkUnit& unit) {
-    if (!unit.m_barred.empty() || unit.m_keepsOffRisks) {
+/** Ignores units that avoid hosts, since other units of the class may be placed there. */
+void PlanningPass::recordFailedPlacement(const WorkUnit& unit) {
+    if (!unit.m_excludedSlots.empty() || unit.m_avoidsSuspectRuns) {
         return;
     }
-    Roomless& roomless = m_roomless[getLikeness(unit)];
-    roomless.m_members = unit.m_indexes.size();
+    FailedPlacement& failed = m_failedPlacements[getUnitClass(unit)];
+    failed.m_memberCount = unit.m_taskIndexes.size();
     if (m_input.m_withExplanations) {
-        roomless.m_note = m_plan.m_explanations.back();
+        failed.m_explanation = m_plan.m_explanations.back();
     }
 }
 
-/** @return false when nothing was found for the unit. */
+/**
+ * Places a unit, or sets aside capacity that will be freed for it.
+ * @return false if neither was possible.
+ */
 bool PlanningPass::placeOrWait(const WorkUnit& unit) {
     if (const auto assignment = findPlace(unit, false)) {
         commit(unit, *assignment);
         return true;
     }
     if (const auto assignment = findPlace(unit, true)) {
-        // What is being stopped will make room; nobody else gets it meanwhile.
-        reserveLeaving(unit, *assignment);
-        note(unit, "waits until work that is being stopped has ended");
-        noteUrgentWait(unit, UrgentWait::Cause::STOPS);
+        // Runs that are being stopped will free enough capacity, which is kept for this unit.
+        allocateReleasing(unit, *assignment);
+        addExplanation(unit, "waits until work that is being stopped has ended");
+        recordUrgentWait(unit, UrgentWait::Cause::STOPS);
         return true;
     }
-    return unit.isUrgent() && (waitFor(unit) || preemptFor(unit));
+    return unit.isUrgent() && (waitForEnds(unit) || preemptFor(unit));
 }
 
-void PlanningPass::noteUrgentWait(const WorkUnit& unit, UrgentWait::Cause what, double loss) {
+void PlanningPass::recordUrgentWait(const WorkUnit& unit, UrgentWait::Cause cause,
+                                    double preemptionCost) {
     const std::string_view job = unit.getRecord().m_id;
     auto& waits = m_plan.m_urgentWaits;
     if (unit.isUrgent() && (waits.empty() || waits.back().m_job != job)) {
-        waits.push_back({job, what, unit.m_of->m_isGuaranteed, loss});
+        waits.push_back({job, cause, unit.m_waitingStep->m_isGuaranteed, preemptionCost});
     }
 }
 
@@ -354,27 +367,29 @@
     --m_plan.m_waiting;
     const bool isCounted = unit.getSpec().m_maxPerWorker > 0;
     if (isCounted) {
-        countOfStep(unit);
+        countTasksPerWorker(unit);
     }
     for (std::size_t i = 0; i < assignment.size(); ++i) {
-        Room& room = m_rooms[assignment[i]];
-        room.m_free -= unit.getSpec().getCapacityDemand();
-        ++room.m_runs;
-        room.m_isAtRisk = room.m_isAtRisk || unit.m_isSuspect;
-        m_hasRisks = m_hasRisks || unit.m_isSuspect;
-        m_plan.m_placements.push_back({unit.getKey(unit.m_indexes[i]), room.m_view->m_id});
+        WorkerState& state = m_workerStates[assignment[i]];
+        state.m_free -= unit.getSpec().getCapacityDemand();
+        ++state.m_runCount;
+        state.m_hasSuspectRun = state.m_hasSuspectRun || unit.m_isSuspect;
+        m_hasSuspectRuns = m_hasSuspectRuns || unit.m_isSuspect;
+        m_plan.m_placements.push_back({unit.getKey(unit.m_taskIndexes[i]), state.m_snapshot->m_id});
         if (isCounted) {
-            ++m_stepCounts.at(&unit.getStep())[assignment[i]];
+            ++m_tasksPerWorker.at(&unit.getStep())[assignment[i]];
         }
     }
-    m_begun[unit.m_of->m_job] = true;
+    m_hasPlacements[unit.m_waitingStep->m_jobIndex] = true;
     if (m_input.m_withExplanations) {
-        note(unit, PlanExplanation::Kind::PLACED,
-             "placed: room on " + m_rooms[assignment.front()].m_view->m_id.m_host);
+        addExplanation(
+                unit, PlanExplanation::Kind::PLACED,
+                "placed: room on " + m_workerStates[assignment.front()].m_snapshot->m_id.m_host);
     }
 }
 
-void PlanningPass::note(const WorkUnit& unit, PlanExplanation::Kind kind, std::string text) {
+void PlanningPass::addExplanation(const WorkUnit& unit, PlanExplanation::Kind kind,
+                                  std::string text) {
     if (m_input.m_withExplanations) {
         m_plan.m_explanations.push_back({unit.getRecord().m_id, kind, std::move(text)});
     }
--- a/libs/job/src/PlanningPass.h
+++ b/libs/job/src/PlanningPass.h
@@ -17,275 +17,302 @@
 
 namespace pierbank {
 
-/** Place of a worker in the pass's list. */
+/** Index of a worker in PlanInput::m_workers and PlanningPass::m_workerStates. */
 using WorkerSlot = std::size_t;
 
-/** Number of a host, rack or failure domain, in the order of their names. */
-using PartNumber = std::int32_t;
-/** Any worker will do. */
-constexpr PartNumber ANY_PART = -1;
-/** No worker is there. */
-constexpr PartNumber UNKNOWN_PART = -2;
+/** Number of a topology domain (host, rack or failure domain) among those of its level, by name. */
+using DomainId = std::int32_t;
+/** Stands for the whole region: any worker may be used. */
+constexpr DomainId ANY_DOMAIN = -1;
+/** Stands for a topology domain without workers. */
+constexpr DomainId UNKNOWN_DOMAIN = -2;
 
-/** Workers that may run a step, whatever room they have. */
+/** Workers that may run a step, regardless of their free capacity. */
 struct EligibleWorkers {
-    /** Ascending. */
+    /** In ascending order. */
     std::vector<WorkerSlot> m_slots;
-    /** By slot. */
-    std::vector<bool> m_has;
+    /** Indexed by slot. */
+    std::vector<bool> m_isEligible;
 };
 
-/** A step of which tasks wait: all that its units have in common. */
+/** A step with waiting tasks: the properties that all its units share. */
 struct WaitingStep {
     const JobRecord* m_record = nullptr;
     const JobRun* m_run = nullptr;
     const StepRun* m_step = nullptr;
     const StepSpec* m_spec = nullptr;
-    /** Place in the list of jobs. */
-    std::size_t m_job = 0;
+    /** Index of the job in PlanInput::m_jobs. */
+    std::size_t m_jobIndex = 0;
+    /** Number of the occurrence. */
     std::uint32_t m_occurrence = 0;
+    /** Index of the step within the job. */
     std::uint32_t m_number = 0;
-    /** Waiting tasks. */
-    std::vector<std::uint32_t> m_indexes;
+    /** Indexes of the waiting tasks. */
+    std::vector<std::uint32_t> m_taskIndexes;
+    /** Whether the guarantee of the job's organisation covers the job. */
     bool m_isGuaranteed = false;
     const EligibleWorkers* m_eligible = nullptr;
-    /** Lives that may run it; null for all. */
+    /** Advised incarnations of workers; null if none are needed, or none are known yet. */
     const std::set<std::string>* m_advised = nullptr;
+    /** Whether only workers with placement advice may run the step. */
     bool m_needsAdvice = false;
-    /** Wall time since which it could have run, and by which its job should be done. */
-    Millis m_since{0};
+    /** Wall time at which the occurrence became due, or its job was accepted. */
+    Millis m_dueAt{0};
+    /** Wall time by which the occurrence should be done. */
     Millis m_objective{0};
-    /** The objective as it counts for the order. */
-    Millis m_weighedObjective{0};
-    /** Place in the order; lower ones are tried first. */
+    /** Sort key: the objective, advanced for large units by the fragmentation weight. */
+    Millis m_weightedObjective{0};
+    /** First sort key, see chooseBand(); lower bands are placed first. */
     std::uint32_t m_band = 0;
 };
 
-/** Work that is placed at once or not at all: a gang, or one task. */
+/** Smallest amount of work that is placed at once: a whole gang, or a single task. */
 struct WorkUnit {
-    const WaitingStep* m_of = nullptr;
-    /** The tasks of the unit; more than one only for a gang. */
-    std::span<const std::uint32_t> m_indexes;
-    /** Workers that it keeps off although they could hold it. */
-    std::vector<WorkerSlot> m_barred;
-    /** One of its tasks may crash its worker. */
+    const WaitingStep* m_waitingStep = nullptr;
+    /** Indexes of the unit's tasks; more than one only for a gang. */
+    std::span<const std::uint32_t> m_taskIndexes;
+    /** Workers that the unit avoids: runs of its tasks failed there, or the host is suspect. */
+    std::vector<WorkerSlot> m_excludedSlots;
+    /** Whether one of the tasks is suspected of crashing its worker. */
     bool m_isSuspect = false;
-    /** It keeps off workers on which a suspect is about to run, as it is then. */
-    bool m_keepsOffRisks = false;
+    /** Whether the unit avoids workers that have a run of a suspect task when the unit is placed.
+     */
+    bool m_avoidsSuspectRuns = false;
 
-    const JobRecord& getRecord() const { return *m_of->m_record; }
-    const StepSpec& getSpec() const { return *m_of->m_spec; }
-    const StepRun& getStep() const { return *m_of->m_step; }
+    const JobRecord& getRecord() const { return *m_waitingStep->m_record; }
+    const StepSpec& getSpec() const { return *m_waitingStep->m_spec; }
+    const StepRun& getStep() const { return *m_waitingStep->m_step; }
     TaskKey getKey(std::uint32_t index) const {
-        return {getRecord().m_id, m_of->m_occurrence, m_of->m_number, index};
+        return {getRecord().m_id, m_waitingStep->m_occurrence, m_waitingStep->m_number, index};
     }
     bool isUrgent() const { return getRecord().m_policy.m_priority == 0; }
+    /** Returns the number of accelerators that all tasks of the unit need together. */
     std::uint32_t countAccelerators() const;
 };
 
 /**
- * One run of TaskPlanner::plan(). Workers, parts and steps have dense numbers inside; names are
- * looked up once for each at the beginning.
+ * One execution of TaskPlanner::plan(). For speed, workers and topology domains are identified by
+ * dense numbers, which are assigned from their names once at the beginning of the pass.
  */
 class PlanningPass {
 public:
     PlanningPass(const TaskPlannerSettings& settings, const PlanInput& input);
 
+    /** Makes the plan; to be called once. */
     TaskPlan run();
 
 private:
-    /** Room of one worker during the pass. */
-    struct Room {
-        const WorkerSnapshot* m_view = nullptr;
+    /** Free capacity and other state of a worker during the pass. */
+    struct WorkerState {
+        const WorkerSnapshot* m_snapshot = nullptr;
         Resources m_free;
-        /** What stops will free. */
-        Resources m_leaving;
-        /** What runs beyond the room since that has shrunk: ends of as much free nothing. */
-        Resources m_over;
-        /** A starved unit begins here in this time; only what ends before may start. */
-        std::optional<Millis> m_claimedIn;
-        /** Kept for urgent work that will come. */
-        bool m_isReserved = false;
-        /** A run on it may crash it. */
-        bool m_isAtRisk = false;
-        /** Runs that hold it, those that this pass places included. */
-        std::size_t m_runs = 0;
-        PartNumber m_host = ANY_PART;
-        PartNumber m_rack = ANY_PART;
-        PartNumber m_failureDomain = ANY_PART;
+        /** Capacity that runs which are being stopped, or are awaited, will free. */
+        Resources m_releasing;
+        /**
+         * Demand of active runs beyond the capacity of a worker that has shrunk. Runs that end
+         * reduce this demand first and free only what exceeds it.
+         */
+        Resources m_overcommitted;
+        /** Time until a starved unit is expected to start; only shorter work may be placed. */
+        std::optional<Millis> m_reservationStartsIn;
+        /** Whether the worker is kept free for urgent work that is expected. */
+        bool m_isHeadroom = false;
+        /** Whether a run of a suspect task is active there, which may crash the worker. */
+        bool m_hasSuspectRun = false;
+        /** Number of active runs, including those placed by this pass. */
+        std::size_t m_runCount = 0;
+        DomainId m_host = ANY_DOMAIN;
+        DomainId m_rack = ANY_DOMAIN;
+        DomainId m_failureDomain = ANY_DOMAIN;
     };
-    /** A run that may be made to give way. */
+    /** Active run that is not being stopped, and so may be preempted, copied or migrated. */
     struct Occupant {
-        std::size_t m_job = 0;
+        /** Index of the job in PlanInput::m_jobs. */
+        std::size_t m_jobIndex = 0;
         const StepRun* m_step = nullptr;
         const StepSpec* m_spec = nullptr;
-        /** Place in m_groups. */
+        /** Index in m_groups. */
         std::size_t m_group = 0;
         std::uint32_t m_occurrence = 0;
         std::uint32_t m_stepNumber = 0;
+        /** Index of the task within the step. */
         std::uint32_t m_index = 0;
         std::uint32_t m_run = 0;
+        /** Wall time. */
         Millis m_placedAt{0};
         WorkerSlot m_slot = 0;
         bool m_isCopy = false;
         bool m_isUrgent = false;
         bool m_isGuaranteed = false;
+        /** Whether this pass stops the run. */
         bool m_isPreempted = false;
-        /** Its room is promised to a unit that waits for its end. */
+        /** Whether a unit waits for the run's end and has been given its capacity. */
         bool m_isAwaited = false;
-        /** Core-milliseconds of work that a stop throws away; of all members for a gang's. */
-        double m_loss = 0;
+        /** Core-milliseconds of work that a stop throws away; for gangs, of all members. */
+        double m_preemptionCost = 0;
     };
-    /** Occupants of one step of one occurrence; they lie side by side. */
+    /** Range of the occupants of one step of one occurrence in m_occupants, end exclusive. */
     struct OccupantGroup {
         std::size_t m_first = 0;
         std::size_t m_end = 0;
     };
+    /** Slots for the tasks of a unit, in their order. */
     using Assignment = std::vector<WorkerSlot>;
+    /** Indexes in m_occupants of runs to preempt. */
     using Victims = std::vector<std::size_t>;
-    /** Tasks of a step by slot; empty where no limit asks for them. */
-    using StepCounts = std::vector<std::uint32_t>;
-    /** A place for a unit, and what has to give way there. */
-    struct Eviction {
+    /** Number of a step's tasks by slot; empty for a step without a limit per worker. */
+    using TasksPerWorker = std::vector<std::uint32_t>;
+    /** An assignment of workers to a unit, with the runs to preempt there. */
+    struct Preemption {
         Assignment m_assignment;
         std::set<std::size_t> m_victims;
         /** Groups of gangs among the victims. */
-        std::set<std::size_t> m_gangs;
-        double m_loss = 0;
-        /** The loss, and what slow workers cost. */
-        double m_rate = 0;
-        /** What the unit's members take so far, and what that would evict, by slot. */
-        std::map<WorkerSlot, Resources> m_needed;
-        std::vector<std::optional<std::optional<Victims>>> m_victimsOn;
-        StepCounts m_used;
+        std::set<std::size_t> m_gangGroups;
+        /** Core-milliseconds of work that the victims lose. */
+        double m_preemptionCost = 0;
+        /** m_preemptionCost and the cost of slow workers; the cheapest preemption is chosen. */
+        double m_cost = 0;
+        /** Capacity taken by the members that have been assigned so far. */
+        std::map<WorkerSlot, Resources> m_allocated;
+        /**
+         * Cached results of chooseVictims() for one more member, by slot. The outer optional is
+         * empty before the computation, the inner one if the worker cannot take the member.
+         */
+        std::vector<std::optional<std::optional<Victims>>> m_victimsBySlot;
+        TasksPerWorker m_taskCounts;
     };
-    /** What makes two units that find no room alike, but for the number of their members. */
-    using Likeness = std::tuple<const EligibleWorkers*, std::uint32_t, std::uint32_t, std::uint32_t,
-                                bool, bool, PartNumber, int, bool, bool, Millis>;
-    /** Units of so many members, and larger ones, find no room. */
-    struct Roomless {
-        std::size_t m_members = 0;
-        PlanExplanation m_note;
+    /** Properties on which the placement of a unit depends, apart from the number of members. */
+    using UnitClass = std::tuple<const EligibleWorkers*, std::uint32_t, std::uint32_t,
+                                 std::uint32_t, bool, bool, DomainId, int, bool, bool, Millis>;
+    /** Smallest unit of its class that could not be placed; larger ones are not tried. */
+    struct FailedPlacement {
+        std::size_t m_memberCount = 0;
+        PlanExplanation m_explanation;
     };
 
-    // Set-up.
-    void numberParts();
+    // Initial state.
+    void assignDomainIds();
     void findGuaranteed();
-    void takeRooms();
-    void takeStep(std::size_t job, const OccurrenceRun& occurrence, std::uint32_t step);
+    void collectActiveRuns();
+    void collectActiveRunsOfStep(std::size_t job, const OccurrenceRun& occurrence,
+                                 std::uint32_t step);
     std::optional<WorkerSlot> findSlot(const WorkerId& worker) const;
-    void takeRun(const Occupant& run, const WorkerId& worker, bool isStopping);
-    void noteRisk(const TaskRun& task);
-    void addGangLosses();
+    void addActiveRun(const Occupant& run, const WorkerId& worker, bool isStopping);
+    void recordSuspectRun(const TaskRun& task);
+    void addGangCosts();
     void sortOccupants();
-    void findOvercommitted();
+    void computeFreeCapacity();
 
     // Units and their order (PlanningPassOrder.cpp).
     std::vector<WaitingStep> collectSteps();
     void collectStep(std::size_t job, const OccurrenceRun& occurrence, std::uint32_t step,
                      std::vector<WaitingStep>& steps);
-    void noteOpenLosses(const JobRecord& record);
+    void explainUnresolvedLosses(const JobRecord& record);
     static Millis getObjective(const JobRecord& record, std::uint32_t occurrence);
     std::uint32_t chooseBand(const WaitingStep& step, const OccurrenceRun& occurrence) const;
     WaitingStep makeStep(std::size_t job, const OccurrenceRun& occurrence, std::uint32_t step);
-    Millis weighObjective(const WaitingStep& step) const;
-    Likeness getLikeness(const WorkUnit& unit);
+    Millis getWeightedObjective(const WaitingStep& step) const;
+    UnitClass getUnitClass(const WorkUnit& unit);
     const EligibleWorkers* findEligible(const std::string& service, const std::string& label);
     const EligibleWorkers* findAdvised(const EligibleWorkers& all,
                                        const std::set<std::string>* advised);
 
     void placeStep(const WaitingStep& step);
     void placeUnit(const WorkUnit& unit);
-    void noteRoomless(const WorkUnit& unit);
-    void noteUrgentWait(const WorkUnit& unit, UrgentWait::Cause what, double loss = 0);
+    void recordFailedPlacement(const WorkUnit& unit);
+    void recordUrgentWait(const WorkUnit& unit, UrgentWait::Cause cause, double preemptionCost = 0);
     bool placeOrWait(const WorkUnit& unit);
     void commit(const WorkUnit& unit, const Assignment& assignment);
-    void note(const WorkUnit& unit, PlanExplanation::Kind kind, std::string text);
-    void note(const WorkUnit& unit, std::string_view text) {
-        note(unit, PlanExplanation::Kind::WAITS, std::string(text));
+    void addExplanation(const WorkUnit& unit, PlanExplanation::Kind kind, std::string text);
+    void addExplanation(const WorkUnit& unit, std::string_view text) {
+        addExplanation(unit, PlanExplanation::Kind::WAITS, std::string(text));
     }
 
-    // Workers kept for urgent work, and those that a unit keeps off (PlanningPassHosts.cpp).
-    void reserveForUrgent();
-    void reserveForUrgent(const std::string& service, std::uint32_t accelerators);
-    bool isHardlyHalfUsed(const std::string& service) const;
-    bool mayUseReserved(const WorkUnit& unit) const;
-    bool hasNothingRunning(const WaitingStep& step) const;
-    void barHosts(WorkUnit& unit);
-    void keepOffRisks(WorkUnit& unit);
+    // Headroom for urgent work, and workers that a unit avoids (PlanningPassHosts.cpp).
+    void setAsideHeadroom();
+    void setAsideHeadroom(const std::string& service, std::uint32_t accelerators);
+    bool isUnderutilized(const std::string& service) const;
+    bool mayUseHeadroom(const WorkUnit& unit) const;
+    bool isJobIdle(const WaitingStep& step) const;
+    void excludeHosts(WorkUnit& unit);
+    void avoidSuspectRuns(WorkUnit& unit);
     bool isLastAttempt(const WorkUnit& unit) const;
-    bool isRisk(const WorkUnit& unit, WorkerSlot slot) const;
-    bool couldHold(const WorkUnit& unit);
+    bool mustAvoidSuspectHost(const WorkUnit& unit, WorkerSlot slot) const;
+    bool fitsIdleWorkers(const WorkUnit& unit);
 
-    // Where a unit fits (PlanningPassCapacity.cpp).
-    /** Rooms as they would be if a unit could use everything that `withLeaving` says. */
-    std::vector<Resources> getRooms(const WorkUnit& unit, bool withLeaving) const;
-    Resources getRoom(const WorkUnit& unit, WorkerSlot slot, bool withLeaving) const;
-    /** A place among the rooms as they are. */
-    std::optional<Assignment> findPlace(const WorkUnit& unit, bool withLeaving);
-    std::optional<Assignment> assign(const WorkUnit& unit, const std::vector<Resources>& rooms);
-    std::optional<Assignment> assignNear(const WorkUnit& unit, const std::vector<Resources>& rooms);
+    // Placement within the free capacity (PlanningPassCapacity.cpp).
+    /** Returns getUsableCapacity() by slot; zero for workers that are not eligible. */
+    std::vector<Resources> listUsableCapacity(const WorkUnit& unit, bool withReleasing) const;
+    Resources getUsableCapacity(const WorkUnit& unit, WorkerSlot slot, bool withReleasing) const;
+    /** Assigns a unit within the current free capacity. */
+    std::optional<Assignment> findPlace(const WorkUnit& unit, bool withReleasing);
+    std::optional<Assignment> assign(const WorkUnit& unit,
+                                     const std::vector<Resources>& capacities);
+    std::optional<Assignment> assignToOneDomain(const WorkUnit& unit,
+                                                const std::vector<Resources>& capacities);
     std::optional<Assignment> assignWithin(const WorkUnit& unit,
-                                           const std::vector<Resources>& rooms, PartNumber part);
-    template <typename GetRoom>
-    std::optional<WorkerSlot> chooseSlot(const WorkUnit& unit, std::uint32_t index, PartNumber part,
-                                         const StepCounts& used, GetRoom getRoom) const;
-    static double rateAfterLoss(const WorkUnit& unit, std::uint32_t index, std::string_view host);
-    double rate(const WorkUnit& unit, std::uint32_t index, WorkerSlot slot,
-                const Resources& room) const;
-    bool isBarred(const WorkUnit& unit, WorkerSlot slot) const;
+                                           const std::vector<Resources>& capacities,
+                                           DomainId domain);
+    template <typename GetCapacity>
+    std::optional<WorkerSlot> chooseSlot(const WorkUnit& unit, std::uint32_t index, DomainId domain,
+                                         const TasksPerWorker& used, GetCapacity getCapacity) const;
+    static double getSpreadPenalty(const WorkUnit& unit, std::uint32_t index,
+                                   std::string_view host);
+    double getPenalty(const WorkUnit& unit, std::uint32_t index, WorkerSlot slot,
+                      const Resources& capacity) const;
+    bool isExcluded(const WorkUnit& unit, WorkerSlot slot) const;
     bool isAllowed(const WorkUnit& unit, WorkerSlot slot) const;
-    bool isOpenTo(const WorkUnit& unit, WorkerSlot slot) const;
+    bool isUnreservedFor(const WorkUnit& unit, WorkerSlot slot) const;
     bool allowsRemote(const WorkUnit& unit) const;
-    const StepCounts& countOfStep(const WorkUnit& unit);
-    /** The part of the topology that has to hold the unit's members; ANY_PART for any. */
-    PartNumber getPart(const WorkUnit& unit, WorkerSlot slot) const;
-    std::vector<PartNumber> listParts(const WorkUnit& unit) const;
-    bool needsPart(const WorkUnit& unit) const;
+    const TasksPerWorker& countTasksPerWorker(const WorkUnit& unit);
+    /** Returns the worker's topology domain at the level that must contain the whole unit. */
+    DomainId getTopologyDomain(const WorkUnit& unit, WorkerSlot slot) const;
+    std::vector<DomainId> listTopologyDomains(const WorkUnit& unit) const;
+    bool needsSingleDomain(const WorkUnit& unit) const;
 
-    // How urgent work gets room that other work has (PlanningPassEviction.cpp).
-    bool waitFor(const WorkUnit& unit);
-    bool isWorth(const WorkUnit& unit, double loss) const;
+    // Preemption for urgent work (PlanningPassPreemption.cpp).
+    bool waitForEnds(const WorkUnit& unit);
+    bool isPreemptionJustified(const WorkUnit& unit, double preemptionCost) const;
     bool preemptFor(const WorkUnit& unit);
-    std::optional<Eviction> findEviction(const WorkUnit& unit, PartNumber part);
-    bool addMember(const WorkUnit& unit, PartNumber part, Eviction& eviction) const;
+    std::optional<Preemption> findPreemption(const WorkUnit& unit, DomainId domain);
+    bool addMember(const WorkUnit& unit, DomainId domain, Preemption& preemption) const;
     const std::optional<Victims>& findVictims(const WorkUnit& unit, WorkerSlot slot,
-                                              Eviction& eviction) const;
+                                              Preemption& preemption) const;
     std::optional<Victims> chooseVictims(const WorkUnit& unit, WorkerSlot slot,
                                          const Resources& need) const;
-    double getDelay(const WorkUnit& unit, WorkerSlot slot) const;
-    double getLoss(const Victims& victims, const Eviction& eviction) const;
+    double getSlownessCost(const WorkUnit& unit, WorkerSlot slot) const;
+    double getPreemptionCost(const Victims& victims, const Preemption& preemption) const;
     bool mayPreempt(const WorkUnit& unit, const Occupant& occupant) const;
-    /** A lasting task may be stopped without breaking the promise of its step. */
-    bool mayMiss(const Occupant& occupant) const;
-    std::uint32_t countAway(const Occupant& occupant) const;
-    void stop(Occupant& victim, const std::string& why);
-    std::size_t getPlace(const Occupant& occupant) const {
+    /** Whether a stop keeps the number of unavailable tasks of a lasting step within its limit. */
+    bool mayInterrupt(const Occupant& occupant) const;
+    std::uint32_t countUnavailable(const Occupant& occupant) const;
+    void stop(Occupant& victim, const std::string& explanation);
+    std::size_t getOccupantIndex(const Occupant& occupant) const {
         return static_cast<std::size_t>(&occupant - m_occupants.data());
     }
-    void reserveLeaving(const WorkUnit& unit, const Assignment& assignment);
-    void addLeaving(WorkerSlot slot, const Resources& need);
-    /** Adds to a room what an end frees, after what makes up for the room that is gone. */
-    static void giveBack(Resources& room, Resources& over, Resources need);
+    void allocateReleasing(const WorkUnit& unit, const Assignment& assignment);
+    void addReleasing(WorkerSlot slot, const Resources& need);
+    /** Adds released capacity to `free`, after reducing `overcommitted` by as much as possible. */
+    static void releaseCapacity(Resources& free, Resources& overcommitted, Resources released);
     TaskKey getKey(const Occupant& occupant) const;
     const JobRecord& getRecord(const Occupant& occupant) const;
     std::optional<Millis> getRemaining(const Occupant& occupant) const;
 
-    // Claims of starved units, copies of slow tasks, moves (PlanningPassClaims.cpp).
+    // Reservations, speculative copies and migrations (PlanningPassReservations.cpp).
     bool isStarved(const WorkUnit& unit) const;
     bool isStarved(const WaitingStep& step) const;
-    void claimFor(const WorkUnit& unit);
-    std::optional<Millis> getExpectedEnd(const Occupant& occupant) const;
+    void reserveFor(const WorkUnit& unit);
+    std::optional<Millis> getExpectedRemaining(const Occupant& occupant) const;
     void copySlowTasks();
     bool isSlow(const Occupant& occupant) const;
-    void copyElsewhere(const Occupant& occupant);
-    void moveOffLeaving();
-    bool mustLeave(const Occupant& occupant) const;
-    bool mustLeaveDomain(const Occupant& occupant) const;
-    WaitingStep makeStepOf(const Occupant& occupant);
+    void addCopy(const Occupant& occupant);
+    void migrateOffLeaving();
+    bool mustMigrate(const Occupant& occupant) const;
+    bool mustMigrateOffEvacuated(const Occupant& occupant) const;
+    WaitingStep makeStepFor(const Occupant& occupant);
 
-    // Why a unit waits, and what would change that (PlanningPassReasons.cpp).
-    void noteWait(const WorkUnit& unit);
+    // Explanations of waiting units (PlanningPassExplanations.cpp).
+    void addWaitExplanation(const WorkUnit& unit);
     std::string explainWait(const WorkUnit& unit) const;
     bool canEverHold(const WorkUnit& unit) const;
     bool canEverHold(const WorkUnit& unit, bool withEvacuated) const;
@@ -294,38 +321,44 @@
     const TaskPlannerSettings& m_settings;
     const PlanInput& m_input;
     const Millis m_wallNow;
-    std::vector<Room> m_rooms;
-    /** Slots by host; a host that has several lives has several. */
+    std::vector<WorkerState> m_workerStates;
+    /** Slots by host; a host with several incarnations of its worker has several slots. */
     std::unordered_multimap<std::string_view, WorkerSlot> m_slots;
-    std::unordered_map<std::string_view, PartNumber> m_racks;
-    std::vector<WorkerSlot> m_suspects;
+    std::unordered_map<std::string_view, DomainId> m_racks;
+    /** Workers on suspect hosts. */
+    std::vector<WorkerSlot> m_suspectSlots;
     std::vector<Occupant> m_occupants;
     std::vector<OccupantGroup> m_groups;
-    /** Occupants by slot, those that cost least first. */
+    /** Indexes in m_occupants by slot, in the order in which they are considered as victims. */
     std::vector<std::vector<std::size_t>> m_occupantsOn;
-    /** By place of the job: of priority 0, and covered by its organisation's guarantee. */
+    /** By job index: whether the job has priority 0 and its organisation's guarantee covers it. */
     std::vector<bool> m_guaranteed;
     /** Accelerators of the largest worker. */
-    std::uint32_t m_largestWorker = 1;
-    std::size_t m_claims = 0;
-    /** Services with reserved workers, of which hardly half of some resource is in use. */
-    std::set<std::string> m_idleServices;
-    /** Some worker is at risk. */
-    bool m_hasRisks = false;
-    /** By place of the job: this pass has placed something of it. */
-    std::vector<bool> m_begun;
-    /** By place of the job: nothing of it ran when the pass began; worked out when asked for. */
+    std::uint32_t m_maxWorkerAccelerators = 1;
+    /** Starved units with reservations in this pass. */
+    std::size_t m_reservationCount = 0;
+    /** Services with headroom for which some resource is in low use, see isUnderutilized(). */
+    std::set<std::string> m_underutilizedServices;
+    /** Whether some worker has a run of a suspect task. */
+    bool m_hasSuspectRuns = false;
+    /** By job index: whether this pass has placed a run of the job. */
+    std::vector<bool> m_hasPlacements;
+    /** By job index: whether the job had no active run at the start of the pass; computed lazily.
+     */
     mutable std::vector<std::optional<bool>> m_wasIdle;
+    /** Eligible workers by service and required label. */
     std::map<std::pair<std::string_view, std::string_view>, EligibleWorkers> m_eligible;
+    /** Eligible workers of steps with placement advice; a deque keeps their addresses valid. */
     std::deque<EligibleWorkers> m_advised;
-    std::unordered_map<const StepRun*, StepCounts> m_stepCounts;
-    const StepCounts m_noCounts;
+    std::unordered_map<const StepRun*, TasksPerWorker> m_tasksPerWorker;
+    /** Result of countTasksPerWorker() for steps without a limit per worker. */
+    const TasksPerWorker m_noTaskCounts;
     /**
-     * Units without priority 0 that found no room: like ones need not be tried, since nothing that
-     * comes after them gives room back. With 3,500 gangs waiting for 690 workers a pass takes 6.7
-     * ms instead of 156 (median of 15, `pierbank-replay --pass`).
+     * Non-urgent units that could not be placed, by class. Units of the same class with as many or
+     * more members are skipped, since the rest of the pass frees no capacity for them. Without this
+     * cache a pass takes many times as long when thousands of gangs wait.
      */
-    std::map<Likeness, Roomless> m_roomless;
+    std::map<UnitClass, FailedPlacement> m_failedPlacements;
     TaskPlan m_plan;
 };
 
--- a/libs/job/src/PlanningPassCapacity.cpp
+++ b/libs/job/src/PlanningPassCapacity.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Where a unit fits.
+// Assignment of units to workers with sufficient free capacity.
 #include <algorithm>
 #include <limits>
 
@@ -7,150 +7,162 @@
 
 namespace pierbank {
 
-std::vector<Resources> PlanningPass::getRooms(const WorkUnit& unit, bool withLeaving) const {
-    std::vector<Resources> rooms(m_rooms.size());
-    for (const WorkerSlot slot : unit.m_of->m_eligible->m_slots) {
-        rooms[slot] = getRoom(unit, slot, withLeaving);
+std::vector<Resources> PlanningPass::listUsableCapacity(const WorkUnit& unit,
+                                                        bool withReleasing) const {
+    std::vector<Resources> capacities(m_workerStates.size());
+    for (const WorkerSlot slot : unit.m_waitingStep->m_eligible->m_slots) {
+        capacities[slot] = getUsableCapacity(unit, slot, withReleasing);
     }
-    return rooms;
+    return capacities;
 }
 
-/** Nothing where the unit may not go. */
-Resources PlanningPass::getRoom(const WorkUnit& unit, WorkerSlot slot, bool withLeaving) const {
+/**
+ * Returns the free capacity that the unit may use on a worker; zero if the unit may not run there.
+ * With `withReleasing`, capacity that is about to be freed counts as well.
+ */
+Resources PlanningPass::getUsableCapacity(const WorkUnit& unit, WorkerSlot slot,
+                                          bool withReleasing) const {
     Resources free;
-    if (isOpenTo(unit, slot) && !isBarred(unit, slot)) {
-        free = m_rooms[slot].m_free;
-        if (withLeaving) {
-            free += m_rooms[slot].m_leaving;
+    if (isUnreservedFor(unit, slot) && !isExcluded(unit, slot)) {
+        free = m_workerStates[slot].m_free;
+        if (withReleasing) {
+            free += m_workerStates[slot].m_releasing;
         }
     }
     return free;
 }
 
-bool PlanningPass::isBarred(const WorkUnit& unit, WorkerSlot slot) const {
-    return (unit.m_keepsOffRisks && m_rooms[slot].m_isAtRisk) ||
-           std::find(unit.m_barred.begin(), unit.m_barred.end(), slot) != unit.m_barred.end();
+bool PlanningPass::isExcluded(const WorkUnit& unit, WorkerSlot slot) const {
+    return (unit.m_avoidsSuspectRuns && m_workerStates[slot].m_hasSuspectRun) ||
+           std::find(unit.m_excludedSlots.begin(), unit.m_excludedSlots.end(), slot) !=
+                   unit.m_excludedSlots.end();
 }
 
 bool PlanningPass::isAllowed(const WorkUnit& unit, WorkerSlot slot) const {
-    return unit.m_of->m_eligible->m_has[slot] && !isBarred(unit, slot);
+    return unit.m_waitingStep->m_eligible->m_isEligible[slot] && !isExcluded(unit, slot);
 }
 
-/** A worker that a starved unit claims takes only what is gone before; reserved ones, urgent work.
+/**
+ * Whether neither the headroom nor a reservation excludes the unit from a worker. A reserved worker
+ * takes only work that ends before the reservation starts.
  */
-bool PlanningPass::isOpenTo(const WorkUnit& unit, WorkerSlot slot) const {
-    const Room& room = m_rooms[slot];
+bool PlanningPass::isUnreservedFor(const WorkUnit& unit, WorkerSlot slot) const {
+    const WorkerState& state = m_workerStates[slot];
     const StepSpec& spec = unit.getSpec();
-    if (room.m_isReserved && !mayUseReserved(unit)) {
+    if (state.m_isHeadroom && !mayUseHeadroom(unit)) {
         return false;
     }
-    return !room.m_claimedIn.has_value() ||
-           (!spec.m_isLasting && spec.m_estimate < *room.m_claimedIn);
+    return !state.m_reservationStartsIn.has_value() ||
+           (!spec.m_isLasting && spec.m_estimate < *state.m_reservationStartsIn);
 }
 
-/** Far work pays only once waiting for a near worker has cost more than the longer run. */
+/** Remote work takes longer: it is allowed once the unit has waited for more than the difference.
+ */
 bool PlanningPass::allowsRemote(const WorkUnit& unit) const {
     const auto estimate = static_cast<double>(unit.getSpec().m_estimate.count());
-    const auto waited = static_cast<double>((m_wallNow - unit.m_of->m_since).count());
+    const auto waited = static_cast<double>((m_wallNow - unit.m_waitingStep->m_dueAt).count());
     return waited > (m_settings.m_farFactor - 1.0) * estimate;
 }
 
-PartNumber PlanningPass::getPart(const WorkUnit& unit, WorkerSlot slot) const {
-    const Room& room = m_rooms[slot];
+DomainId PlanningPass::getTopologyDomain(const WorkUnit& unit, WorkerSlot slot) const {
+    const WorkerState& state = m_workerStates[slot];
     if (!unit.getSpec().m_dataRack.empty()) {
-        return room.m_rack;
+        return state.m_rack;
     }
     switch (unit.getSpec().m_adjacency) {
         case Adjacency::WORKER:
-            return room.m_host;
+            return state.m_host;
         case Adjacency::RACK:
-            return room.m_rack;
+            return state.m_rack;
         case Adjacency::FAILURE_DOMAIN:
-            return room.m_failureDomain;
+            return state.m_failureDomain;
         case Adjacency::REGION:
             break;
     }
-    return ANY_PART;
+    return ANY_DOMAIN;
 }
 
-/** One of several parts has to hold all of the unit. */
-bool PlanningPass::needsPart(const WorkUnit& unit) const {
-    return unit.getSpec().m_adjacency != Adjacency::REGION && unit.m_indexes.size() > 1;
+/** Whether all members of the unit must run in the same topology domain. */
+bool PlanningPass::needsSingleDomain(const WorkUnit& unit) const {
+    return unit.getSpec().m_adjacency != Adjacency::REGION && unit.m_taskIndexes.size() > 1;
 }
 
-/** The parts that could each hold the whole unit, ascending; ANY_PART when any worker will do. */
-std::vector<PartNumber> PlanningPass::listParts(const WorkUnit& unit) const {
+/** Returns the topology domains to try for the whole unit, in ascending order. */
+std::vector<DomainId> PlanningPass::listTopologyDomains(const WorkUnit& unit) const {
     const StepSpec& spec = unit.getSpec();
     if (!spec.m_dataRack.empty()) {
         const auto rack = m_racks.find(spec.m_dataRack);
-        return {rack == m_racks.end() ? UNKNOWN_PART : rack->second};
+        return {rack == m_racks.end() ? UNKNOWN_DOMAIN : rack->second};
     }
-    if (!needsPart(unit)) {
-        return {ANY_PART};
+    if (!needsSingleDomain(unit)) {
+        return {ANY_DOMAIN};
     }
-    std::vector<PartNumber> parts;
-    for (WorkerSlot slot = 0; slot < m_rooms.size(); ++slot) {
-        parts.push_back(getPart(unit, slot));
+    std::vector<DomainId> domains;
+    for (WorkerSlot slot = 0; slot < m_workerStates.size(); ++slot) {
+        domains.push_back(getTopologyDomain(unit, slot));
     }
-    std::sort(parts.begin(), parts.end());
-    parts.erase(std::unique(parts.begin(), parts.end()), parts.end());
-    return parts;
+    std::sort(domains.begin(), domains.end());
+    domains.erase(std::unique(domains.begin(), domains.end()), domains.end());
+    return domains;
 }
 
 std::optional<PlanningPass::Assignment> PlanningPass::findPlace(const WorkUnit& unit,
-                                                                bool withLeaving) {
-    const bool isSimple = unit.m_indexes.size() == 1 && unit.getSpec().m_dataRack.empty();
+                                                                bool withReleasing) {
+    const bool isSimple = unit.m_taskIndexes.size() == 1 && unit.getSpec().m_dataRack.empty();
     if (!isSimple) {
-        return assign(unit, getRooms(unit, withLeaving));
+        return assign(unit, listUsableCapacity(unit, withReleasing));
     }
-    const auto slot =
-            chooseSlot(unit, unit.m_indexes.front(), ANY_PART, countOfStep(unit),
-                       [&](WorkerSlot candidate) { return getRoom(unit, candidate, withLeaving); });
+    const auto slot = chooseSlot(unit, unit.m_taskIndexes.front(), ANY_DOMAIN,
+                                 countTasksPerWorker(unit), [&](WorkerSlot candidate) {
+                                     return getUsableCapacity(unit, candidate, withReleasing);
+                                 });
     return slot.has_value() ? std::optional(Assignment{*slot}) : std::nullopt;
 }
 
-std::optional<PlanningPass::Assignment> PlanningPass::assign(const WorkUnit& unit,
-                                                             const std::vector<Resources>& rooms) {
-    if (auto near = assignNear(unit, rooms)) {
-        return near;
+std::optional<PlanningPass::Assignment> PlanningPass::assign(
+        const WorkUnit& unit, const std::vector<Resources>& capacities) {
+    if (auto assignment = assignToOneDomain(unit, capacities)) {
+        return assignment;
     }
     const StepSpec& spec = unit.getSpec();
-    const bool isBound = !spec.m_dataRack.empty() || (spec.m_allowsRemote && needsPart(unit));
-    return isBound && allowsRemote(unit) ? assignWithin(unit, rooms, ANY_PART) : std::nullopt;
+    const bool isConstrained =
+            !spec.m_dataRack.empty() || (spec.m_allowsRemote && needsSingleDomain(unit));
+    return isConstrained && allowsRemote(unit) ? assignWithin(unit, capacities, ANY_DOMAIN)
+                                               : std::nullopt;
 }
 
-/** In the part with the least room that holds the unit. */
-std::optional<PlanningPass::Assignment> PlanningPass::assignNear(
-        const WorkUnit& unit, const std::vector<Resources>& rooms) {
-    const std::vector<PartNumber> parts = listParts(unit);
-    if (parts.size() == 1) {
-        return assignWithin(unit, rooms, parts.front());
+/** Assigns a unit to the topology domain with the fewest free accelerators that suffice. */
+std::optional<PlanningPass::Assignment> PlanningPass::assignToOneDomain(
+        const WorkUnit& unit, const std::vector<Resources>& capacities) {
+    const std::vector<DomainId> domains = listTopologyDomains(unit);
+    if (domains.size() == 1) {
+        return assignWithin(unit, capacities, domains.front());
     }
-    std::map<PartNumber, std::uint64_t> roomOf;
-    for (WorkerSlot slot = 0; slot < m_rooms.size(); ++slot) {
-        roomOf[getPart(unit, slot)] += rooms[slot].m_accelerators;
+    std::map<DomainId, std::uint64_t> capacityByDomain;
+    for (WorkerSlot slot = 0; slot < m_workerStates.size(); ++slot) {
+        capacityByDomain[getTopologyDomain(unit, slot)] += capacities[slot].m_accelerators;
     }
     std::optional<Assignment> best;
-    std::uint64_t bestRoom = std::numeric_limits<std::uint64_t>::max();
-    for (const auto& [part, room] : roomOf) {
-        if (room >= bestRoom || room < unit.countAccelerators()) {
+    std::uint64_t bestCapacity = std::numeric_limits<std::uint64_t>::max();
+    for (const auto& [domain, capacity] : capacityByDomain) {
+        if (capacity >= bestCapacity || capacity < unit.countAccelerators()) {
             continue;
         }
-        if (auto assignment = assignWithin(unit, rooms, part)) {
+        if (auto assignment = assignWithin(unit, capacities, domain)) {
             best = std::move(assignment);
-            bestRoom = room;
+            bestCapacity = capacity;
         }
     }
     return best;
 }
 
 std::optional<PlanningPass::Assignment> PlanningPass::assignWithin(
-        const WorkUnit& unit, const std::vector<Resources>& rooms, PartNumber part) {
-    std::vector<Resources> left = rooms;
-    StepCounts used = countOfStep(unit);
+        const WorkUnit& unit, const std::vector<Resources>& capacities, DomainId domain) {
+    std::vector<Resources> left = capacities;
+    TasksPerWorker used = countTasksPerWorker(unit);
     Assignment assignment;
-    for (const std::uint32_t index : unit.m_indexes) {
-        const auto slot = chooseSlot(unit, index, part, used,
+    for (const std::uint32_t index : unit.m_taskIndexes) {
+        const auto slot = chooseSlot(unit, index, domain, used,
                                      [&](WorkerSlot candidate) { return left[candidate]; });
         if (!slot.has_value()) {
             return std::nullopt;
@@ -164,38 +176,39 @@
     return assignment;
 }
 
-template <typename GetRoom>
+template <typename GetCapacity>
 std::optional<WorkerSlot> PlanningPass::chooseSlot(const WorkUnit& unit, std::uint32_t index,
-                                                   PartNumber part, const StepCounts& used,
-                                                   GetRoom getRoom) const {
+                                                   DomainId domain, const TasksPerWorker& used,
+                                                   GetCapacity getCapacity) const {
     const StepSpec& spec = unit.getSpec();
     const Resources need = spec.getCapacityDemand();
     std::optional<WorkerSlot> best;
-    double bestRate = std::numeric_limits<double>::max();
-    for (const WorkerSlot slot : unit.m_of->m_eligible->m_slots) {
-        const Resources room = getRoom(slot);
-        const bool isOutside = part != ANY_PART && getPart(unit, slot) != part;
+    double bestPenalty = std::numeric_limits<double>::max();
+    for (const WorkerSlot slot : unit.m_waitingStep->m_eligible->m_slots) {
+        const Resources capacity = getCapacity(slot);
+        const bool isOutside = domain != ANY_DOMAIN && getTopologyDomain(unit, slot) != domain;
         const bool isFull = !used.empty() && used[slot] >= spec.m_maxPerWorker;
-        if (!need.fitsInto(room) || isOutside || isFull || isBarred(unit, slot)) {
+        if (!need.fitsInto(capacity) || isOutside || isFull || isExcluded(unit, slot)) {
             continue;
         }
-        const double rating = rate(unit, index, slot, room);
-        if (rating < bestRate) {
+        const double penalty = getPenalty(unit, index, slot, capacity);
+        if (penalty < bestPenalty) {
             best = slot;
-            bestRate = rating;
+            bestPenalty = penalty;
         }
     }
     return best;
 }
 
 /**
- * Workers may go in turn, as in a rolling restart, in the order in which hosts are tried here: each
- * new start of a task that was lost would be on the next one to go, and be taken for the cause.
- * After one crash a good host counts for more.
+ * Spreads the tasks whose workers crashed repeatedly over the hosts, in a pseudo-random way. In a
+ * rolling restart, workers may restart in the order in which hosts are tried here. A lost task
+ * would then be placed on the next worker to restart each time, and would be taken for the cause of
+ * the crashes. After a single crash the penalty is zero, since a suitable host matters more.
  */
-double PlanningPass::rateAfterLoss(const WorkUnit& unit, std::uint32_t index,
-                                   std::string_view host) {
-    constexpr double SPREAD = 20.0;
+double PlanningPass::getSpreadPenalty(const WorkUnit& unit, std::uint32_t index,
+                                      std::string_view host) {
+    constexpr double MAX_PENALTY = 20.0;
     constexpr std::size_t STEPS = 1024;
     const TaskRun& task = unit.getStep().m_tasks[index];
     if (!task.m_losses.hasRepeatedCrashes()) {
@@ -205,48 +218,52 @@
     text.append("/").append(std::to_string(index));
     text.append("/").append(std::to_string(task.m_lastRun)).append("/").append(host);
     const std::size_t step = std::hash<std::string>()(text) % STEPS;
-    return SPREAD * static_cast<double>(step) / static_cast<double>(STEPS);
+    return MAX_PENALTY * static_cast<double>(step) / static_cast<double>(STEPS);
 }
 
-/** Lower is better: workers that are not kept for others first, then those of the right speed with
- * the least room left. */
-double PlanningPass::rate(const WorkUnit& unit, std::uint32_t index, WorkerSlot slot,
-                          const Resources& room) const {
-    constexpr double FAILED_HERE = 1000.0;
-    constexpr double RESERVED = 100.0;
-    Resources left = room;
+/**
+ * Returns the penalty for placing a task on a worker; the worker with the lowest one is chosen. The
+ * hosts on which the task failed come last, before them workers with suspect runs and headroom.
+ * Among the others, speed is weighed against the accelerators that stay free.
+ */
+double PlanningPass::getPenalty(const WorkUnit& unit, std::uint32_t index, WorkerSlot slot,
+                                const Resources& capacity) const {
+    constexpr double FAILED_HERE_PENALTY = 1000.0;
+    constexpr double HEADROOM_PENALTY = 100.0;
+    Resources left = capacity;
     left -= unit.getSpec().getCapacityDemand();
-    const WorkerSnapshot& worker = *m_rooms[slot].m_view;
+    const WorkerSnapshot& worker = *m_workerStates[slot].m_snapshot;
     const TaskRun& task = unit.getStep().m_tasks[index];
     const bool hasFailedHere = task.m_failedHosts.contains(worker.m_id.m_host) ||
                                task.m_losses.hasCrashedOn(worker.m_id.m_host);
     const double cpuShare =
             static_cast<double>(left.m_cpuMillis) / std::max(1U, worker.m_capacity.m_cpuMillis);
-    // One that runs beside a suspect goes with it.
-    constexpr double AT_RISK = 500.0;
-    constexpr double NEIGHBOUR_OF_SUSPECT = 50.0;
-    const double risk = (m_rooms[slot].m_isAtRisk ? AT_RISK : 0.0) +
-                        (unit.m_isSuspect ? NEIGHBOUR_OF_SUSPECT : 0.0) *
-                                static_cast<double>(m_rooms[slot].m_runs);
-    const bool isKept = m_rooms[slot].m_isReserved && !unit.isUrgent();
+    // A suspect task that crashes its worker ends all other runs there as well.
+    constexpr double SUSPECT_RUN_PENALTY = 500.0;
+    constexpr double SHARED_WORKER_PENALTY = 50.0;
+    const double riskPenalty = (m_workerStates[slot].m_hasSuspectRun ? SUSPECT_RUN_PENALTY : 0.0) +
+                               (unit.m_isSuspect ? SHARED_WORKER_PENALTY : 0.0) *
+                                       static_cast<double>(m_workerStates[slot].m_runCount);
+    const bool usesHeadroom = m_workerStates[slot].m_isHeadroom && !unit.isUrgent();
     const double speedWeight =
-            unit.isUrgent() ? m_settings.m_urgentSpeedWeight : m_settings.m_otherSpeedWeight;
-    return (hasFailedHere ? FAILED_HERE : 0.0) + risk + (isKept ? RESERVED : 0.0) +
-           rateAfterLoss(unit, index, worker.m_id.m_host) +
+            unit.isUrgent() ? m_settings.m_urgentSpeedWeight : m_settings.m_nonUrgentSpeedWeight;
+    return (hasFailedHere ? FAILED_HERE_PENALTY : 0.0) + riskPenalty +
+           (usesHeadroom ? HEADROOM_PENALTY : 0.0) +
+           getSpreadPenalty(unit, index, worker.m_id.m_host) +
            speedWeight * (worker.m_slowness - 1.0) + left.m_accelerators + cpuShare;
 }
 
-/** The step's tasks by slot, with those that this pass has placed. */
-const PlanningPass::StepCounts& PlanningPass::countOfStep(const WorkUnit& unit) {
+/** Returns the number of the step's active runs by slot, including those placed by this pass. */
+const PlanningPass::TasksPerWorker& PlanningPass::countTasksPerWorker(const WorkUnit& unit) {
     if (unit.getSpec().m_maxPerWorker == 0) {
-        return m_noCounts;
+        return m_noTaskCounts;
     }
-    const auto [place, isNew] = m_stepCounts.try_emplace(&unit.getStep());
-    StepCounts& counts = place->second;
+    const auto [place, isNew] = m_tasksPerWorker.try_emplace(&unit.getStep());
+    TasksPerWorker& counts = place->second;
     if (!isNew) {
         return counts;
     }
-    counts.resize(m_rooms.size());
+    counts.resize(m_workerStates.size());
     const auto count = [&](const WorkerId& worker) {
         if (const auto slot = findSlot(worker)) {
             ++counts[*slot];
--- a/libs/job/src/PlanningPassHosts.cpp
+++ b/libs/job/src/PlanningPassHosts.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Workers that are kept for urgent work, and workers that a unit keeps off.
+// Headroom for urgent work, and workers that a unit avoids.
 #include <algorithm>
 #include <array>
 
@@ -7,160 +7,173 @@
 
 namespace pierbank {
 
-void PlanningPass::reserveForUrgent() {
+void PlanningPass::setAsideHeadroom() {
     for (const auto& [service, accelerators] : m_settings.m_urgentHeadroom) {
-        reserveForUrgent(service, accelerators);
-        if (isHardlyHalfUsed(service)) {
-            m_idleServices.insert(service);
+        setAsideHeadroom(service, accelerators);
+        if (isUnderutilized(service)) {
+            m_underutilizedServices.insert(service);
         }
     }
 }
 
-bool PlanningPass::isHardlyHalfUsed(const std::string& service) const {
+/** Whether the utilization of some resource of a service is below `m_lowUtilization`. */
+bool PlanningPass::isUnderutilized(const std::string& service) const {
     std::array<double, 3> free{};
-    std::array<double, 3> all{};
+    std::array<double, 3> total{};
     const auto add = [](std::array<double, 3>& sums, const Resources& resources) {
         sums[0] += resources.m_cpuMillis;
         sums[1] += resources.m_memoryMb;
         sums[2] += resources.m_accelerators;
     };
-    for (const Room& room : m_rooms) {
-        if (room.m_view->m_service == service) {
-            add(free, room.m_free);
-            add(all, room.m_view->m_capacity);
+    for (const WorkerState& state : m_workerStates) {
+        if (state.m_snapshot->m_service == service) {
+            add(free, state.m_free);
+            add(total, state.m_snapshot->m_capacity);
         }
     }
-    for (std::size_t i = 0; i < all.size(); ++i) {
-        if (all.at(i) > 0 && 1.0 - free.at(i) / all.at(i) < m_settings.m_lowUtilization) {
+    for (std::size_t i = 0; i < total.size(); ++i) {
+        if (total.at(i) > 0 && 1.0 - free.at(i) / total.at(i) < m_settings.m_lowUtilization) {
             return true;
         }
     }
     return false;
 }
 
-bool PlanningPass::mayUseReserved(const WorkUnit& unit) const {
+/**
+ * Urgent and starved units may use the headroom. Other units may after `m_headroomReleaseWait`, if
+ * their job has no active run and the workers of the service are underutilized.
+ */
+bool PlanningPass::mayUseHeadroom(const WorkUnit& unit) const {
     if (unit.isUrgent() || isStarved(unit)) {
         return true;
     }
-    return m_wallNow - unit.m_of->m_since >= m_settings.m_headroomReleaseWait &&
-           m_idleServices.count(unit.getRecord().m_policy.m_service) != 0 &&
-           hasNothingRunning(*unit.m_of);
+    return m_wallNow - unit.m_waitingStep->m_dueAt >= m_settings.m_headroomReleaseWait &&
+           m_underutilizedServices.count(unit.getRecord().m_policy.m_service) != 0 &&
+           isJobIdle(*unit.m_waitingStep);
 }
 
-bool PlanningPass::hasNothingRunning(const WaitingStep& step) const {
-    auto& wasIdle = m_wasIdle[step.m_job];
+bool PlanningPass::isJobIdle(const WaitingStep& step) const {
+    auto& wasIdle = m_wasIdle[step.m_jobIndex];
     if (!wasIdle.has_value()) {
         wasIdle = step.m_run->isIdle();
     }
-    return *wasIdle && !m_begun[step.m_job];
+    return *wasIdle && !m_hasPlacements[step.m_jobIndex];
 }
 
-/** The workers on which the least other work runs, so that the same ones stay kept, and fast ones.
+/**
+ * Sets aside the workers with the least non-urgent work, preferring fast ones. Workers that were
+ * set aside in the previous pass have little such work, so that the choice is stable.
  */
-void PlanningPass::reserveForUrgent(const std::string& service, std::uint32_t accelerators) {
-    std::vector<double> others(m_rooms.size());
+void PlanningPass::setAsideHeadroom(const std::string& service, std::uint32_t accelerators) {
+    std::vector<double> penalties(m_workerStates.size());
     for (const Occupant& occupant : m_occupants) {
         if (!occupant.m_isUrgent) {
-            others[occupant.m_slot] += occupant.m_spec->m_need.m_accelerators;
+            penalties[occupant.m_slot] += occupant.m_spec->m_need.m_accelerators;
         }
     }
-    for (WorkerSlot slot = 0; slot < m_rooms.size(); ++slot) {
-        const double slowness = m_rooms[slot].m_view->m_slowness;
-        others[slot] += m_settings.m_urgentSpeedWeight * (slowness - 1.0);
+    for (WorkerSlot slot = 0; slot < m_workerStates.size(); ++slot) {
+        const double slowness = m_workerStates[slot].m_snapshot->m_slowness;
+        penalties[slot] += m_settings.m_urgentSpeedWeight * (slowness - 1.0);
     }
     std::vector<WorkerSlot> slots;
-    double all = 0;
-    for (WorkerSlot slot = 0; slot < m_rooms.size(); ++slot) {
-        const WorkerSnapshot& worker = *m_rooms[slot].m_view;
+    double total = 0;
+    for (WorkerSlot slot = 0; slot < m_workerStates.size(); ++slot) {
+        const WorkerSnapshot& worker = *m_workerStates[slot].m_snapshot;
         if (worker.m_acceptsWork && worker.m_service == service) {
             slots.push_back(slot);
-            all += worker.m_capacity.m_accelerators;
+            total += worker.m_capacity.m_accelerators;
         }
     }
     std::stable_sort(slots.begin(), slots.end(),
-                     [&](WorkerSlot a, WorkerSlot b) { return others[a] < others[b]; });
-    const double most = std::min<double>(accelerators, m_settings.m_maxHeadroomShare * all);
-    double kept = 0;
+                     [&](WorkerSlot a, WorkerSlot b) { return penalties[a] < penalties[b]; });
+    const double limit = std::min<double>(accelerators, m_settings.m_maxHeadroomShare * total);
+    double setAside = 0;
     for (const WorkerSlot slot : slots) {
-        kept += m_rooms[slot].m_view->m_capacity.m_accelerators;
-        if (kept > most) {
+        setAside += m_workerStates[slot].m_snapshot->m_capacity.m_accelerators;
+        if (setAside > limit) {
             return;
         }
-        m_rooms[slot].m_isReserved = true;
+        m_workerStates[slot].m_isHeadroom = true;
     }
 }
 
+/** Whether the job fails if this unit fails; a gang counts the failures in its first task. */
 bool PlanningPass::isLastAttempt(const WorkUnit& unit) const {
-    const std::uint32_t counted = unit.getSpec().m_isGang ? 0 : unit.m_indexes.front();
+    const std::uint32_t counted = unit.getSpec().m_isGang ? 0 : unit.m_taskIndexes.front();
     return unit.getStep().m_tasks[counted].m_failures + 1 >= unit.getRecord().m_policy.m_attempts;
 }
 
-/** A suspect worker is tried with one run at a time, and not with what a failure costs much. */
-bool PlanningPass::isRisk(const WorkUnit& unit, WorkerSlot slot) const {
-    return !m_occupantsOn[slot].empty() || unit.isUrgent() || unit.m_indexes.size() > 1 ||
+/** Suspect hosts get one run at a time, and none that is costly to lose. */
+bool PlanningPass::mustAvoidSuspectHost(const WorkUnit& unit, WorkerSlot slot) const {
+    return !m_occupantsOn[slot].empty() || unit.isUrgent() || unit.m_taskIndexes.size() > 1 ||
            isLastAttempt(unit);
 }
 
-/** Whether it would fit if nothing else ran. */
-bool PlanningPass::couldHold(const WorkUnit& unit) {
-    std::vector<Resources> rooms(m_rooms.size());
-    for (const WorkerSlot slot : unit.m_of->m_eligible->m_slots) {
-        if (!isBarred(unit, slot)) {
-            rooms[slot] = m_rooms[slot].m_view->m_capacity;
+/** Whether the workers that the unit does not avoid could run the unit if they were idle. */
+bool PlanningPass::fitsIdleWorkers(const WorkUnit& unit) {
+    std::vector<Resources> capacities(m_workerStates.size());
+    for (const WorkerSlot slot : unit.m_waitingStep->m_eligible->m_slots) {
+        if (!isExcluded(unit, slot)) {
+            capacities[slot] = m_workerStates[slot].m_snapshot->m_capacity;
         }
     }
-    return assign(unit, rooms).has_value();
+    return assign(unit, capacities).has_value();
 }
 
 /**
- * What may crash its worker runs beside as little as can be and never beside another such: so a
- * second crash proves something, and costs nobody else. Urgent work and gangs keep off it too, as
- * long as others could hold them.
+ * Keeps suspect tasks apart from each other, so that another crash has a single possible cause.
+ * Urgent units and gangs avoid suspect tasks as well, since they are costly to lose. A unit that
+ * would not fit on the remaining workers avoids none. getPenalty() also keeps suspect tasks away
+ * from other runs, so that another crash ends as few of them as possible.
  */
-void PlanningPass::keepOffRisks(WorkUnit& unit) {
+void PlanningPass::avoidSuspectRuns(WorkUnit& unit) {
     const auto& tasks = unit.getStep().m_tasks;
     unit.m_isSuspect =
-            std::any_of(unit.m_indexes.begin(), unit.m_indexes.end(),
+            std::any_of(unit.m_taskIndexes.begin(), unit.m_taskIndexes.end(),
                         [&](std::uint32_t index) { return tasks[index].m_losses.isSuspect(); });
-    const bool isDear = unit.m_isSuspect || unit.isUrgent() || unit.m_indexes.size() > 1;
-    unit.m_keepsOffRisks = m_hasRisks && isDear;
-    if (unit.m_keepsOffRisks && !couldHold(unit)) {
-        unit.m_keepsOffRisks = false;
+    const bool isCostlyToLose =
+            unit.m_isSuspect || unit.isUrgent() || unit.m_taskIndexes.size() > 1;
+    unit.m_avoidsSuspectRuns = m_hasSuspectRuns && isCostlyToLose;
+    if (unit.m_avoidsSuspectRuns && !fitsIdleWorkers(unit)) {
+        unit.m_avoidsSuspectRuns = false;
     }
 }
 
-/** All members keep off a host that failed one of them, as long as others could hold the unit. */
-void PlanningPass::barHosts(WorkUnit& unit) {
-    unit.m_barred.clear();
+/**
+ * Excludes the hosts on which a member of the unit failed, and then the suspect hosts that the unit
+ * must avoid; each of the two only while the unit still fits on the remaining workers.
+ */
+void PlanningPass::excludeHosts(WorkUnit& unit) {
+    unit.m_excludedSlots.clear();
     if (!m_settings.m_excludesFailedHosts) {
         return;
     }
     const auto& tasks = unit.getStep().m_tasks;
     const bool hasFailed =
-            std::any_of(unit.m_indexes.begin(), unit.m_indexes.end(),
+            std::any_of(unit.m_taskIndexes.begin(), unit.m_taskIndexes.end(),
                         [&](std::uint32_t index) { return !tasks[index].m_failedHosts.isEmpty(); });
-    for (WorkerSlot slot = 0; hasFailed && slot < m_rooms.size(); ++slot) {
-        const std::string& host = m_rooms[slot].m_view->m_id.m_host;
+    for (WorkerSlot slot = 0; hasFailed && slot < m_workerStates.size(); ++slot) {
+        const std::string& host = m_workerStates[slot].m_snapshot->m_id.m_host;
         const bool failedHere = std::any_of(
-                unit.m_indexes.begin(), unit.m_indexes.end(),
+                unit.m_taskIndexes.begin(), unit.m_taskIndexes.end(),
                 [&](std::uint32_t index) { return tasks[index].m_failedHosts.contains(host); });
         if (failedHere) {
-            unit.m_barred.push_back(slot);
+            unit.m_excludedSlots.push_back(slot);
         }
     }
-    std::vector<WorkerSlot> risks;
-    for (const WorkerSlot slot : m_suspects) {
-        if (!isBarred(unit, slot) && isRisk(unit, slot)) {
-            risks.push_back(slot);
+    std::vector<WorkerSlot> avoided;
+    for (const WorkerSlot slot : m_suspectSlots) {
+        if (!isExcluded(unit, slot) && mustAvoidSuspectHost(unit, slot)) {
+            avoided.push_back(slot);
         }
     }
-    if (!unit.m_barred.empty() && !couldHold(unit)) {
-        unit.m_barred.clear();
+    if (!unit.m_excludedSlots.empty() && !fitsIdleWorkers(unit)) {
+        unit.m_excludedSlots.clear();
     }
-    const std::vector<WorkerSlot> failed = unit.m_barred;
-    unit.m_barred.insert(unit.m_barred.end(), risks.begin(), risks.end());
-    if (!risks.empty() && !couldHold(unit)) {
-        unit.m_barred = failed;
+    const std::vector<WorkerSlot> failed = unit.m_excludedSlots;
+    unit.m_excludedSlots.insert(unit.m_excludedSlots.end(), avoided.begin(), avoided.end());
+    if (!avoided.empty() && !fitsIdleWorkers(unit)) {
+        unit.m_excludedSlots = failed;
     }
 }
 
--- a/libs/job/src/PlanningPassOrder.cpp
+++ b/libs/job/src/PlanningPassOrder.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Which steps have tasks that wait, and the order in which they are tried.
+// Collection of the steps with waiting tasks, and the order in which they are placed.
 #include <algorithm>
 
 #include "PlanningPass.h"
@@ -8,8 +8,8 @@
 
 namespace {
 
-/** Since when an occurrence could have run. */
-Millis getDue(const JobRecord& record, std::uint32_t occurrence) {
+/** Returns the wall time at which an occurrence is due, or at which an untimed job was accepted. */
+Millis getDueTime(const JobRecord& record, std::uint32_t occurrence) {
     const JobSpec& spec = record.m_spec;
     return spec.isTimed() ? spec.m_firstDue + spec.m_interval * occurrence : record.m_acceptedAt;
 }
@@ -31,7 +31,7 @@
     }
     const auto getRank = [](const WaitingStep& step) {
         return std::make_tuple(step.m_band, step.m_record->m_policy.m_priority,
-                               step.m_weighedObjective, std::cref(step.m_record->m_id),
+                               step.m_weightedObjective, std::cref(step.m_record->m_id),
                                step.m_occurrence, step.m_number);
     };
     std::stable_sort(steps.begin(), steps.end(), [&](const WaitingStep& a, const WaitingStep& b) {
@@ -60,7 +60,7 @@
         return task.m_losses.mustAwaitResolution(task.m_lastRun);
     };
     if (std::any_of(waiting.begin(), waiting.end(), mustAwaitResolution)) {
-        noteOpenLosses(record);
+        explainUnresolvedLosses(record);
         if (isGang) {
             return;
         }
@@ -70,12 +70,12 @@
         return;
     }
     WaitingStep found = makeStep(job, occurrence, step);
-    found.m_indexes = std::move(waiting);
-    found.m_weighedObjective = weighObjective(found);
+    found.m_taskIndexes = std::move(waiting);
+    found.m_weightedObjective = getWeightedObjective(found);
     steps.push_back(std::move(found));
 }
 
-void PlanningPass::noteOpenLosses(const JobRecord& record) {
+void PlanningPass::explainUnresolvedLosses(const JobRecord& record) {
     if (m_input.m_withExplanations) {
         m_plan.m_explanations.push_back(
                 {record.m_id, PlanExplanation::Kind::WAITS,
@@ -93,7 +93,7 @@
     made.m_run = planned.m_run;
     made.m_step = &occurrence.m_steps[step];
     made.m_spec = &record.m_spec.m_steps[step];
-    made.m_job = job;
+    made.m_jobIndex = job;
     made.m_occurrence = occurrence.m_number;
     made.m_number = step;
     made.m_isGuaranteed = m_guaranteed[job];
@@ -106,66 +106,67 @@
         }
         made.m_eligible = findAdvised(*made.m_eligible, made.m_advised);
     }
-    made.m_since = getDue(record, occurrence.m_number);
+    made.m_dueAt = getDueTime(record, occurrence.m_number);
     made.m_objective = getObjective(record, occurrence.m_number);
     made.m_band = chooseBand(made, occurrence);
     return made;
 }
 
-/** By when an occurrence of a job should be done. */
+/** Returns the wall time by which an occurrence of a job should be done. */
 Millis PlanningPass::getObjective(const JobRecord& record, std::uint32_t occurrence) {
-    return getDue(record, occurrence) + getObjectiveSpan(record);
+    return getDueTime(record, occurrence) + getObjectiveSpan(record);
 }
 
 /**
- * Urgent work goes first, that of guarantees before all; then by priority, and in one priority
- * what can still meet its objective before what cannot. What is so late that nobody counts on it
- * any more comes after the rest of its priority, urgent or not.
+ * Returns the band of a step; lower bands are placed first. Bands are ordered by priority. Within a
+ * priority, guaranteed steps go first, then those that can still meet their objective, then late
+ * ones. Steps that are so late that their result has no value any more go last, urgent ones too.
  */
 std::uint32_t PlanningPass::chooseBand(const WaitingStep& step,
                                        const OccurrenceRun& occurrence) const {
     enum Band : std::uint32_t { GUARANTEED, ON_TIME, LATE, HOPELESS, BANDS };
     const std::uint32_t priority = step.m_record->m_policy.m_priority;
     const bool isUrgent = priority == 0;
-    const Millis remaining = estimateRemainingChain(step.m_record->m_spec, occurrence);
-    const Millis spare = step.m_objective - m_wallNow - remaining;
-    const Millis span = step.m_objective - step.m_since;
-    Band band = spare < Millis(0) ? LATE : ON_TIME;
-    if (spare < -span * m_settings.m_hopelessFactor) {
+    const Millis remaining = estimateRemainingCriticalPath(step.m_record->m_spec, occurrence);
+    const Millis slack = step.m_objective - m_wallNow - remaining;
+    const Millis span = step.m_objective - step.m_dueAt;
+    Band band = slack < Millis(0) ? LATE : ON_TIME;
+    if (slack < -span * m_settings.m_hopelessFactor) {
         band = HOPELESS;
     } else if (isUrgent && step.m_isGuaranteed) {
         band = GUARANTEED;
     }
-    // What starves goes right after urgent work, so that its claim comes before smaller work.
+    // Starved steps go right after urgent work, so that their reservations are made before smaller
+    // units are placed.
     return !isUrgent && isStarved(step) ? HOPELESS : priority * BANDS + band;
 }
 
-/** With a weight on fragmentation, a unit as large as a worker is taken for due sooner. */
-Millis PlanningPass::weighObjective(const WaitingStep& step) const {
+/** Advances the objective in proportion to the unit's size, by up to the fragmentation weight. */
+Millis PlanningPass::getWeightedObjective(const WaitingStep& step) const {
     constexpr double WHOLE_WEIGHT = 100.0;
-    const std::size_t members = step.m_spec->m_isGang ? step.m_indexes.size() : 1;
+    const std::size_t members = step.m_spec->m_isGang ? step.m_taskIndexes.size() : 1;
     const auto accelerators = static_cast<double>(step.m_spec->m_need.m_accelerators * members);
-    const double size = std::min(1.0, accelerators / static_cast<double>(m_largestWorker));
-    const auto span = static_cast<double>((step.m_objective - step.m_since).count());
+    const double size = std::min(1.0, accelerators / static_cast<double>(m_maxWorkerAccelerators));
+    const auto span = static_cast<double>((step.m_objective - step.m_dueAt).count());
     const double advance = m_settings.m_fragmentationWeight / WHOLE_WEIGHT * size * span;
     return step.m_objective - Millis(static_cast<std::int64_t>(advance));
 }
 
-PlanningPass::Likeness PlanningPass::getLikeness(const WorkUnit& unit) {
+PlanningPass::UnitClass PlanningPass::getUnitClass(const WorkUnit& unit) {
     const StepSpec& spec = unit.getSpec();
     const Resources need = spec.getCapacityDemand();
     const auto rack = m_racks.find(spec.m_dataRack);
-    return {unit.m_of->m_eligible,
+    return {unit.m_waitingStep->m_eligible,
             need.m_cpuMillis,
             need.m_memoryMb,
             need.m_accelerators,
-            unit.m_indexes.size() == 1,
+            unit.m_taskIndexes.size() == 1,
             spec.m_dataRack.empty(),
-            rack == m_racks.end() ? UNKNOWN_PART : rack->second,
+            rack == m_racks.end() ? UNKNOWN_DOMAIN : rack->second,
             static_cast<int>(spec.m_adjacency),
             allowsRemote(unit),
-            mayUseReserved(unit),
-            m_claims > 0 ? spec.m_estimate : Millis(0)};
+            mayUseHeadroom(unit),
+            m_reservationCount > 0 ? spec.m_estimate : Millis(0)};
 }
 
 const EligibleWorkers* PlanningPass::findEligible(const std::string& service,
@@ -175,13 +176,13 @@
     if (!isNew) {
         return &eligible;
     }
-    eligible.m_has.resize(m_rooms.size());
-    for (WorkerSlot slot = 0; slot < m_rooms.size(); ++slot) {
-        const WorkerSnapshot& worker = *m_rooms[slot].m_view;
+    eligible.m_isEligible.resize(m_workerStates.size());
+    for (WorkerSlot slot = 0; slot < m_workerStates.size(); ++slot) {
+        const WorkerSnapshot& worker = *m_workerStates[slot].m_snapshot;
         if (worker.m_acceptsWork && worker.m_service == service &&
             (label.empty() || worker.m_labels.count(label) != 0)) {
             eligible.m_slots.push_back(slot);
-            eligible.m_has[slot] = true;
+            eligible.m_isEligible[slot] = true;
         }
     }
     return &eligible;
@@ -189,15 +190,16 @@
 
 const EligibleWorkers* PlanningPass::findAdvised(const EligibleWorkers& all,
                                                  const std::set<std::string>* advised) {
-    EligibleWorkers& some = m_advised.emplace_back();
-    some.m_has.resize(m_rooms.size());
+    EligibleWorkers& result = m_advised.emplace_back();
+    result.m_isEligible.resize(m_workerStates.size());
     for (const WorkerSlot slot : all.m_slots) {
-        if (advised != nullptr && advised->count(m_rooms[slot].m_view->m_id.m_incarnation) != 0) {
-            some.m_slots.push_back(slot);
-            some.m_has[slot] = true;
+        if (advised != nullptr &&
+            advised->count(m_workerStates[slot].m_snapshot->m_id.m_incarnation) != 0) {
+            result.m_slots.push_back(slot);
+            result.m_isEligible[slot] = true;
         }
     }
-    return &some;
+    return &result;
 }
 
 }  // namespace pierbank
--- /dev/null
+++ b/libs/job/src/PlanningPassPreemption.cpp
@@ -0,0 +1,311 @@
+// SPDX-License-Identifier: Apache-2.0
+// Preemption: urgent work gets capacity that other runs occupy.
+#include <algorithm>
+#include <limits>
+
+#include "PlanningPass.h"
+
+namespace pierbank {
+
+namespace {
+
+constexpr double CORES_PER_ACCELERATOR = 8.0;
+constexpr double MILLIS_PER_CORE = 1000.0;
+constexpr double MILLIS_PER_SECOND = 1000.0;
+
+}  // namespace
+
+double getCores(const Resources& need) {
+    return need.m_cpuMillis / MILLIS_PER_CORE + CORES_PER_ACCELERATOR * need.m_accelerators;
+}
+
+bool PlanningPass::mayPreempt(const WorkUnit& unit, const Occupant& occupant) const {
+    if (occupant.m_isPreempted || occupant.m_isAwaited ||
+        occupant.m_jobIndex == unit.m_waitingStep->m_jobIndex) {
+        return false;
+    }
+    const bool mayReclaim = unit.m_waitingStep->m_isGuaranteed && !occupant.m_isGuaranteed;
+    return (!occupant.m_isUrgent || mayReclaim) && mayInterrupt(occupant);
+}
+
+bool PlanningPass::mayInterrupt(const Occupant& occupant) const {
+    const StepSpec& spec = *occupant.m_spec;
+    return !spec.m_isLasting || spec.m_maxUnavailable == 0 ||
+           countUnavailable(occupant) < spec.m_maxUnavailable;
+}
+
+/** Counts the tasks of a lasting step that do not run, are to be stopped, or started recently. */
+std::uint32_t PlanningPass::countUnavailable(const Occupant& occupant) const {
+    std::uint32_t unavailable = 0;
+    for (const TaskRun& task : occupant.m_step->m_tasks) {
+        const bool isSettled = task.m_state == TaskState::PLACED &&
+                               m_wallNow - task.m_placedAt >= m_settings.m_settleTime;
+        unavailable += isSettled ? 0 : 1;
+    }
+    const OccupantGroup& group = m_groups[occupant.m_group];
+    for (std::size_t i = group.m_first; i < group.m_end; ++i) {
+        unavailable += m_occupants[i].m_isPreempted ? 1 : 0;
+    }
+    return unavailable;
+}
+
+/** Waits for runs that are about to end instead of preempting them, within the unit's limits. */
+bool PlanningPass::waitForEnds(const WorkUnit& unit) {
+    const auto estimate = static_cast<double>(unit.getSpec().m_estimate.count());
+    const Millis share(static_cast<std::int64_t>(m_settings.m_waitShare * estimate));
+    const Millis waited = m_wallNow - unit.m_waitingStep->m_dueAt;
+    const Millis budget = std::min(share, m_settings.m_maxPreemptionDelay) - waited;
+    if (budget <= Millis(0)) {
+        return false;
+    }
+    std::vector<Resources> capacities = listUsableCapacity(unit, true);
+    std::vector<std::size_t> ending;
+    for (const WorkerSlot slot : unit.m_waitingStep->m_eligible->m_slots) {
+        if (isExcluded(unit, slot) || !isUnreservedFor(unit, slot)) {
+            continue;
+        }
+        Resources overcommitted = m_workerStates[slot].m_overcommitted;
+        for (const std::size_t i : m_occupantsOn[slot]) {
+            const Occupant& occupant = m_occupants[i];
+            const bool isReleasing = occupant.m_isPreempted || occupant.m_isAwaited;
+            const auto remaining = isReleasing ? std::nullopt : getRemaining(occupant);
+            if (remaining.has_value() && *remaining <= budget) {
+                releaseCapacity(capacities[slot], overcommitted,
+                                occupant.m_spec->getCapacityDemand());
+                ending.push_back(i);
+            }
+        }
+    }
+    const auto assignment = ending.empty() ? std::nullopt : assign(unit, capacities);
+    if (!assignment.has_value()) {
+        return false;
+    }
+    for (const std::size_t i : ending) {
+        Occupant& occupant = m_occupants[i];
+        if (std::find(assignment->begin(), assignment->end(), occupant.m_slot) !=
+            assignment->end()) {
+            occupant.m_isAwaited = true;
+            addReleasing(occupant.m_slot, occupant.m_spec->getCapacityDemand());
+        }
+    }
+    allocateReleasing(unit, *assignment);
+    addExplanation(unit, "waits for work that is about to end");
+    recordUrgentWait(unit, UrgentWait::Cause::ENDS);
+    return true;
+}
+
+/** Preempts the runs whose loss, together with the cost of slow workers, is the lowest. */
+bool PlanningPass::preemptFor(const WorkUnit& unit) {
+    if (!m_input.m_mayPreempt) {
+        recordUrgentWait(unit, UrgentWait::Cause::WORKERS, 0.0);
+        return false;
+    }
+    std::optional<Preemption> best;
+    for (const DomainId domain : listTopologyDomains(unit)) {
+        auto preemption = findPreemption(unit, domain);
+        if (preemption.has_value() && (!best.has_value() || preemption->m_cost < best->m_cost)) {
+            best = std::move(preemption);
+        }
+    }
+    if (!best.has_value() || !isPreemptionJustified(unit, best->m_preemptionCost)) {
+        const auto cause =
+                best.has_value() ? UrgentWait::Cause::CAPACITY : UrgentWait::Cause::WORKERS;
+        recordUrgentWait(unit, cause,
+                         best.has_value() ? best->m_preemptionCost / MILLIS_PER_SECOND : 0.0);
+        return false;
+    }
+    for (const std::size_t victim : best->m_victims) {
+        stop(m_occupants[victim], "gave way to job " + unit.getRecord().m_id);
+    }
+    allocateReleasing(unit, best->m_assignment);
+    addExplanation(unit, "waits until work that gives way to it has ended");
+    recordUrgentWait(unit, UrgentWait::Cause::STOPS, best->m_preemptionCost / MILLIS_PER_SECOND);
+    return true;
+}
+
+/** Guaranteed units may always preempt; for other urgent units the lost work is limited. */
+bool PlanningPass::isPreemptionJustified(const WorkUnit& unit, double preemptionCost) const {
+    const StepSpec& spec = unit.getSpec();
+    const double own = getCores(spec.m_need) * static_cast<double>(unit.m_taskIndexes.size()) *
+                       static_cast<double>(spec.m_estimate.count());
+    return unit.m_waitingStep->m_isGuaranteed ||
+           preemptionCost <= m_settings.m_maxWastedWork * MILLIS_PER_SECOND +
+                                     m_settings.m_maxWastePerOwnWork * own;
+}
+
+std::optional<PlanningPass::Preemption> PlanningPass::findPreemption(const WorkUnit& unit,
+                                                                     DomainId domain) {
+    Preemption preemption;
+    preemption.m_taskCounts = countTasksPerWorker(unit);
+    preemption.m_victimsBySlot.resize(m_workerStates.size());
+    for (std::size_t i = 0; i < unit.m_taskIndexes.size(); ++i) {
+        if (!addMember(unit, domain, preemption)) {
+            return std::nullopt;
+        }
+    }
+    return preemption;
+}
+
+/** Assigns one more member of the unit to the worker where this costs the least. */
+bool PlanningPass::addMember(const WorkUnit& unit, DomainId domain, Preemption& preemption) const {
+    const StepSpec& spec = unit.getSpec();
+    std::optional<WorkerSlot> best;
+    double bestPreemptionCost = 0;
+    std::pair<double, std::uint32_t> bestCost(std::numeric_limits<double>::max(), 0);
+    for (const WorkerSlot slot : unit.m_waitingStep->m_eligible->m_slots) {
+        const bool isOutside = domain != ANY_DOMAIN && getTopologyDomain(unit, slot) != domain;
+        const bool isFull = !preemption.m_taskCounts.empty() &&
+                            preemption.m_taskCounts[slot] >= spec.m_maxPerWorker;
+        if (isOutside || isFull || isExcluded(unit, slot) || !isUnreservedFor(unit, slot)) {
+            continue;
+        }
+        const std::optional<Victims>& victims = findVictims(unit, slot, preemption);
+        if (!victims.has_value()) {
+            continue;
+        }
+        const double preemptionCost = getPreemptionCost(*victims, preemption);
+        const std::pair<double, std::uint32_t> cost(preemptionCost + getSlownessCost(unit, slot),
+                                                    m_workerStates[slot].m_free.m_accelerators);
+        if (cost < bestCost) {
+            bestCost = cost;
+            bestPreemptionCost = preemptionCost;
+            best = slot;
+        }
+    }
+    if (!best.has_value()) {
+        return false;
+    }
+    preemption.m_preemptionCost += bestPreemptionCost;
+    preemption.m_cost += bestCost.first;
+    for (const std::size_t victim : **preemption.m_victimsBySlot[*best]) {
+        preemption.m_victims.insert(victim);
+        if (m_occupants[victim].m_spec->m_isGang) {
+            preemption.m_gangGroups.insert(m_occupants[victim].m_group);
+        }
+    }
+    preemption.m_assignment.push_back(*best);
+    preemption.m_allocated[*best] += spec.getCapacityDemand();
+    preemption.m_victimsBySlot[*best].reset();
+    if (!preemption.m_taskCounts.empty()) {
+        ++preemption.m_taskCounts[*best];
+    }
+    return true;
+}
+
+/** Returns the weighted core-milliseconds that a member takes longer than at normal speed. */
+double PlanningPass::getSlownessCost(const WorkUnit& unit, WorkerSlot slot) const {
+    const StepSpec& spec = unit.getSpec();
+    return m_settings.m_preemptionSpeedWeight * getCores(spec.m_need) *
+           static_cast<double>(spec.m_estimate.count()) *
+           (m_workerStates[slot].m_snapshot->m_slowness - 1.0);
+}
+
+/** Returns the victims for one more member on a worker, cached until a member is added there. */
+const std::optional<PlanningPass::Victims>& PlanningPass::findVictims(
+        const WorkUnit& unit, WorkerSlot slot, Preemption& preemption) const {
+    auto& known = preemption.m_victimsBySlot[slot];
+    if (!known.has_value()) {
+        const auto allocated = preemption.m_allocated.find(slot);
+        Resources need =
+                allocated == preemption.m_allocated.end() ? Resources() : allocated->second;
+        need += unit.getSpec().getCapacityDemand();
+        known = chooseVictims(unit, slot, need);
+    }
+    return *known;
+}
+
+/**
+ * Chooses the cheapest runs to preempt on a worker so that the demand of a unit's members fits.
+ * @return the victims, none if the demand fits already; nullopt if it cannot be made to fit.
+ */
+std::optional<PlanningPass::Victims> PlanningPass::chooseVictims(const WorkUnit& unit,
+                                                                 WorkerSlot slot,
+                                                                 const Resources& need) const {
+    Resources capacity = m_workerStates[slot].m_free;
+    capacity += m_workerStates[slot].m_releasing;
+    Resources overcommitted = m_workerStates[slot].m_overcommitted;
+    Victims victims;
+    for (const std::size_t candidate : m_occupantsOn[slot]) {
+        if (need.fitsInto(capacity)) {
+            break;
+        }
+        if (mayPreempt(unit, m_occupants[candidate])) {
+            releaseCapacity(capacity, overcommitted,
+                            m_occupants[candidate].m_spec->getCapacityDemand());
+            victims.push_back(candidate);
+        }
+    }
+    if (!need.fitsInto(capacity)) {
+        return std::nullopt;
+    }
+    // Drops victims that turn out to be unnecessary, the most expensive first.
+    for (std::size_t i = victims.size(); i-- > 0;) {
+        Resources without = capacity;
+        without -= m_occupants[victims[i]].m_spec->getCapacityDemand();
+        if (need.fitsInto(without)) {
+            capacity = without;
+            victims.erase(victims.begin() + static_cast<std::ptrdiff_t>(i));
+        }
+    }
+    return victims;
+}
+
+/** Returns the cost of the victims that are not preempted already; a gang counts once. */
+double PlanningPass::getPreemptionCost(const Victims& victims, const Preemption& preemption) const {
+    double preemptionCost = 0;
+    for (std::size_t i = 0; i < victims.size(); ++i) {
+        const Occupant& victim = m_occupants[victims[i]];
+        const bool isGang = victim.m_spec->m_isGang;
+        const auto end = victims.begin() + static_cast<std::ptrdiff_t>(i);
+        const bool isCounted = isGang ? preemption.m_gangGroups.count(victim.m_group) != 0 ||
+                                                std::any_of(victims.begin(), end,
+                                                            [&](std::size_t other) {
+                                                                return m_occupants[other].m_group ==
+                                                                       victim.m_group;
+                                                            })
+                                      : preemption.m_victims.count(victims[i]) != 0;
+        preemptionCost += isCounted ? 0.0 : victim.m_preemptionCost;
+    }
+    return preemptionCost;
+}
+
+/** Stops a run; for a gang, all its members. */
+void PlanningPass::stop(Occupant& victim, const std::string& explanation) {
+    const OccupantGroup group =
+            victim.m_spec->m_isGang
+                    ? m_groups[victim.m_group]
+                    : OccupantGroup{getOccupantIndex(victim), getOccupantIndex(victim) + 1};
+    for (std::size_t i = group.m_first; i < group.m_end; ++i) {
+        Occupant& occupant = m_occupants[i];
+        if (occupant.m_isPreempted) {
+            continue;
+        }
+        occupant.m_isPreempted = true;
+        addReleasing(occupant.m_slot, occupant.m_spec->getCapacityDemand());
+        m_plan.m_stops.push_back({getKey(occupant), occupant.m_run, explanation});
+    }
+}
+
+void PlanningPass::releaseCapacity(Resources& free, Resources& overcommitted, Resources released) {
+    const Resources before = overcommitted;
+    overcommitted -= released;
+    released -= before;
+    free += released;
+}
+
+void PlanningPass::addReleasing(WorkerSlot slot, const Resources& need) {
+    releaseCapacity(m_workerStates[slot].m_releasing, m_workerStates[slot].m_overcommitted, need);
+}
+
+void PlanningPass::allocateReleasing(const WorkUnit& unit, const Assignment& assignment) {
+    for (const WorkerSlot slot : assignment) {
+        WorkerState& state = m_workerStates[slot];
+        const Resources need = unit.getSpec().getCapacityDemand();
+        Resources fromReleasing = need;
+        fromReleasing -= state.m_free;
+        state.m_free -= need;
+        state.m_releasing -= fromReleasing;
+    }
+}
+
+}  // namespace pierbank
--- a/libs/job/src/TaskPlanner.cpp
+++ b/libs/job/src/TaskPlanner.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-/** Forecasts that were worked out beforehand. */
-class KnownForecast final : public RunForecast {
+/** Forecast with remaining times that are given in advance. */
+class FixedForecast final : public RunForecast {
 public:
-    explicit KnownForecast(const std::map<TaskKey, Millis>& remaining) : m_remaining(remaining) {}
+    explicit FixedForecast(const std::map<TaskKey, Millis>& remaining) : m_remaining(remaining) {}
 
     std::optional<Millis> getRemaining(std::string_view, const TaskRef& task) const override {
         const auto found = m_remaining.find(
@@ -27,13 +27,13 @@
 
 }  // namespace
 
-std::string_view toText(UrgentWait::Cause what) {
-    switch (what) {
+std::string_view toText(UrgentWait::Cause cause) {
+    switch (cause) {
         case UrgentWait::Cause::STOPS:
             return "stops";
         case UrgentWait::Cause::ENDS:
             return "ends";
-        case UrgentWait::Cause::ROOM:
+        case UrgentWait::Cause::CAPACITY:
             return "room";
         case UrgentWait::Cause::WORKERS:
             break;
@@ -50,24 +50,24 @@
                            const std::map<TaskKey, Millis>& remaining,
                            const std::map<std::string, std::uint32_t>& guarantees,
                            Millis wallNow) const {
-    const KnownForecast forecast(remaining);
+    const FixedForecast forecast(remaining);
     return plan({workers, jobs, forecast, guarantees, wallNow});
 }
 
 namespace {
 
-/** Longest chain of the steps whose own time is given. */
-Millis findLongestChain(const JobSpec& spec, const std::function<Millis(std::size_t)>& getTime) {
+/** Returns the length of the critical path, given the time of each step by index. */
+Millis findCriticalPath(const JobSpec& spec, const std::function<Millis(std::size_t)>& getTime) {
     std::vector<Millis> ends;
     Millis longest{0};
     for (std::size_t i = 0; i < spec.m_steps.size(); ++i) {
-        Millis begin{0};
-        for (const std::uint32_t earlier : spec.m_steps[i].m_after) {
-            if (earlier < ends.size()) {
-                begin = std::max(begin, ends[earlier]);
+        Millis start{0};
+        for (const std::uint32_t predecessor : spec.m_steps[i].m_after) {
+            if (predecessor < ends.size()) {
+                start = std::max(start, ends[predecessor]);
             }
         }
-        ends.push_back(begin + getTime(i));
+        ends.push_back(start + getTime(i));
         longest = std::max(longest, ends.back());
     }
     return longest;
@@ -75,19 +75,19 @@
 
 }  // namespace
 
-Millis estimateChain(const JobSpec& spec) {
-    return findLongestChain(spec, [&](std::size_t i) { return spec.m_steps[i].m_estimate; });
+Millis estimateCriticalPath(const JobSpec& spec) {
+    return findCriticalPath(spec, [&](std::size_t i) { return spec.m_steps[i].m_estimate; });
 }
 
-Millis estimateRemainingChain(const JobSpec& spec, const OccurrenceRun& occurrence) {
-    return findLongestChain(spec, [&](std::size_t i) {
+Millis estimateRemainingCriticalPath(const JobSpec& spec, const OccurrenceRun& occurrence) {
+    return findCriticalPath(spec, [&](std::size_t i) {
         const bool isDone = i < occurrence.m_steps.size() && occurrence.m_steps[i].isDone();
         return isDone ? Millis(0) : spec.m_steps[i].m_estimate;
     });
 }
 
 Millis getObjectiveSpan(const JobRecord& record) {
-    const auto chain = static_cast<double>(estimateChain(record.m_spec).count());
+    const auto chain = static_cast<double>(estimateCriticalPath(record.m_spec).count());
     return Millis(static_cast<std::int64_t>(record.m_policy.m_stretch * chain)) +
            record.m_policy.m_slack;
 }
