--- a/libs/job/include/pierbank/job/TaskPlanner.h
+++ b/libs/job/include/pierbank/job/TaskPlanner.h
@@ -103,7 +103,7 @@
     double m_maxHeadroomShare = 0.25;
     /**
      * While the utilization of a service's workers is below `m_lowUtilization` for some resource,
-     * the headroom also takes units that have waited this long and whose job has no active run.
+     * the headroom also serves units that have waited this long and whose job has no active run.
      * The platform's contract does not allow a job to be without a run for 3 s while capacity is
      * idle.
      */
@@ -129,7 +129,7 @@
     bool m_migratesOffLeaving = true;
     /** Slow tasks of speculative steps get a second run on another worker. */
     bool m_copies = true;
-    /** A restarted lasting task counts as unavailable until it has run for this long. */
+    /** A lasting task counts as unavailable until its run has lasted for this long. */
     Millis m_settleTime{5000};
 };
 
@@ -139,24 +139,26 @@
     WorkerId m_worker;
 };
 
-/** One run to stop. */
+/** One run to stop, of a task or a copy. */
 struct Stop {
     TaskKey m_task;
     std::uint32_t m_run = 0;
+    /** Reason for the stop, as text. */
     std::string m_explanation;
 };
 
-/** Explains to users and operators why a unit was placed or waits. */
+/** Explanation why a unit was placed or waits. */
 struct PlanExplanation {
     enum class Kind {
         PLACED,
         WAITS,
-        /** The known workers could not run the unit even when idle. */
+        /** The known workers could not run the unit even if they were idle. */
         CANNOT_RUN,
     };
     /** Id of the unit's job. */
     std::string m_job;
     Kind m_kind = Kind::WAITS;
+    /** Text for users and operators. */
     std::string m_text;
 };
 
@@ -207,7 +209,10 @@
                                                const TaskRef& task) const = 0;
 };
 
-/** Input of TaskPlanner::plan(). Everything that it refers to must outlive the returned plan. */
+/**
+ * Input of TaskPlanner::plan(). The referenced data must outlive the call; the job records must
+ * outlive the plan, which refers to the ids of urgent jobs.
+ */
 struct PlanInput {
     std::span<const WorkerSnapshot> m_workers;
     std::span<const PlannedJob> m_jobs;
@@ -248,8 +253,9 @@
  * guarantee of its organisation, other work of priority 0, then the other priorities. Within one
  * priority, units that can still meet their objective go first, the nearest objective before the
  * others. Units of priority 0 preempt the runs that are the cheapest to stop; guaranteed units may
- * also preempt runs of priority 0 that no guarantee covers. Workers are reserved for starved units.
- * Finally, slow tasks get copies, and tasks migrate from leaving workers.
+ * also preempt runs of priority 0 that no guarantee covers. Workers are reserved for starved units,
+ * which go right after urgent work. Finally, slow tasks get copies, and tasks migrate from leaving
+ * workers.
  *
  * Reservations with backfill follow the EASY scheduler (Lifka, 1995).
  */
--- a/libs/job/src/PlanningPass.cpp
+++ b/libs/job/src/PlanningPass.cpp
@@ -219,6 +219,7 @@
     }
 }
 
+/** Returns the slot of an incarnation of a worker; empty if the incarnation is not in the input. */
 std::optional<WorkerSlot> PlanningPass::findSlot(const WorkerId& worker) const {
     const auto [begin, end] = m_slots.equal_range(worker.m_host);
     const auto found = std::find_if(begin, end, [&](const auto& entry) {
@@ -297,6 +298,10 @@
     }
 }
 
+/**
+ * Places a unit, or explains why it waits. Units for which the outcome depends only on their class
+ * are skipped after a failed placement in this class.
+ */
 void PlanningPass::placeUnit(const WorkUnit& unit) {
     const bool isCacheable = !unit.isUrgent() && !unit.m_waitingStep->m_needsAdvice &&
                              unit.getSpec().m_maxPerWorker == 0 && !isStarved(unit);
@@ -323,7 +328,10 @@
     }
 }
 
-/** Ignores units that avoid hosts, since other units of the class may be placed there. */
+/**
+ * Records that units of this class and size cannot be placed. Units that avoid hosts are ignored,
+ * since other units of the class may be placed there.
+ */
 void PlanningPass::recordFailedPlacement(const WorkUnit& unit) {
     if (!unit.m_excludedSlots.empty() || unit.m_avoidsSuspectRuns) {
         return;
@@ -345,7 +353,7 @@
         return true;
     }
     if (const auto assignment = findPlace(unit, true)) {
-        // Runs that are being stopped will free enough capacity, which is kept for this unit.
+        // Runs that are being stopped will free enough capacity; no other unit may use it.
         allocateReleasing(unit, *assignment);
         addExplanation(unit, "waits until work that is being stopped has ended");
         recordUrgentWait(unit, UrgentWait::Cause::STOPS);
@@ -354,6 +362,7 @@
     return unit.isUrgent() && (waitForEnds(unit) || preemptFor(unit));
 }
 
+/** Records why a unit waits, if it is the first waiting unit of an urgent job. */
 void PlanningPass::recordUrgentWait(const WorkUnit& unit, UrgentWait::Cause cause,
                                     double preemptionCost) {
     const std::string_view job = unit.getRecord().m_id;
@@ -363,6 +372,7 @@
     }
 }
 
+/** Adds the placements of a unit to the plan, and updates the state of the workers. */
 void PlanningPass::commit(const WorkUnit& unit, const Assignment& assignment) {
     --m_plan.m_waiting;
     const bool isCounted = unit.getSpec().m_maxPerWorker > 0;
--- a/libs/job/src/PlanningPass.h
+++ b/libs/job/src/PlanningPass.h
@@ -52,7 +52,7 @@
     /** Whether the guarantee of the job's organisation covers the job. */
     bool m_isGuaranteed = false;
     const EligibleWorkers* m_eligible = nullptr;
-    /** Advised incarnations of workers; null if none are needed, or none are known yet. */
+    /** Advised incarnations of workers; null if no advice is needed or available yet. */
     const std::set<std::string>* m_advised = nullptr;
     /** Whether only workers with placement advice may run the step. */
     bool m_needsAdvice = false;
@@ -85,6 +85,7 @@
     TaskKey getKey(std::uint32_t index) const {
         return {getRecord().m_id, m_waitingStep->m_occurrence, m_waitingStep->m_number, index};
     }
+    /** Whether the job has priority 0, which may preempt other runs. */
     bool isUrgent() const { return getRecord().m_policy.m_priority == 0; }
     /** Returns the number of accelerators that all tasks of the unit need together. */
     std::uint32_t countAccelerators() const;
@@ -105,6 +106,7 @@
     /** Free capacity and other state of a worker during the pass. */
     struct WorkerState {
         const WorkerSnapshot* m_snapshot = nullptr;
+        /** Capacity that no run occupies and this pass has not allocated yet. */
         Resources m_free;
         /** Capacity that runs which are being stopped, or are awaited, will free. */
         Resources m_releasing;
@@ -121,6 +123,7 @@
         bool m_hasSuspectRun = false;
         /** Number of active runs, including those placed by this pass. */
         std::size_t m_runCount = 0;
+        /** Topology domains that contain the worker. */
         DomainId m_host = ANY_DOMAIN;
         DomainId m_rack = ANY_DOMAIN;
         DomainId m_failureDomain = ANY_DOMAIN;
@@ -133,7 +136,9 @@
         const StepSpec* m_spec = nullptr;
         /** Index in m_groups. */
         std::size_t m_group = 0;
+        /** Number of the occurrence. */
         std::uint32_t m_occurrence = 0;
+        /** Index of the step within the job. */
         std::uint32_t m_stepNumber = 0;
         /** Index of the task within the step. */
         std::uint32_t m_index = 0;
@@ -146,7 +151,7 @@
         bool m_isGuaranteed = false;
         /** Whether this pass stops the run. */
         bool m_isPreempted = false;
-        /** Whether a unit waits for the run's end and has been given its capacity. */
+        /** Whether the capacity is already allocated to a unit that waits for the run to end. */
         bool m_isAwaited = false;
         /** Core-milliseconds of work that a stop throws away; for gangs, of all members. */
         double m_preemptionCost = 0;
@@ -179,6 +184,7 @@
          * empty before the computation, the inner one if the worker cannot take the member.
          */
         std::vector<std::optional<std::optional<Victims>>> m_victimsBySlot;
+        /** Tasks of the step by slot, including the members that have been assigned so far. */
         TasksPerWorker m_taskCounts;
     };
     /** Properties on which the placement of a unit depends, apart from the number of members. */
--- a/libs/job/src/PlanningPassCapacity.cpp
+++ b/libs/job/src/PlanningPassCapacity.cpp
@@ -56,8 +56,7 @@
            (!spec.m_isLasting && spec.m_estimate < *state.m_reservationStartsIn);
 }
 
-/** Remote work takes longer: it is allowed once the unit has waited for more than the difference.
- */
+/** Allows remote work once the unit has waited for more than the additional run time. */
 bool PlanningPass::allowsRemote(const WorkUnit& unit) const {
     const auto estimate = static_cast<double>(unit.getSpec().m_estimate.count());
     const auto waited = static_cast<double>((m_wallNow - unit.m_waitingStep->m_dueAt).count());
@@ -121,8 +120,8 @@
 
 std::optional<PlanningPass::Assignment> PlanningPass::assign(
         const WorkUnit& unit, const std::vector<Resources>& capacities) {
-    if (auto assignment = assignToOneDomain(unit, capacities)) {
-        return assignment;
+    if (auto local = assignToOneDomain(unit, capacities)) {
+        return local;
     }
     const StepSpec& spec = unit.getSpec();
     const bool isConstrained =
@@ -222,9 +221,10 @@
 }
 
 /**
- * Returns the penalty for placing a task on a worker; the worker with the lowest one is chosen. The
- * hosts on which the task failed come last, before them workers with suspect runs and headroom.
- * Among the others, speed is weighed against the accelerators that stay free.
+ * Returns the penalty for placing a task on a worker; the worker with the lowest penalty is chosen.
+ * Hosts on which the task failed are the last choice, before them workers with suspect runs, and
+ * before these the headroom. Suspect tasks prefer workers with few runs. Among the other workers,
+ * speed is weighed against the accelerators that stay free.
  */
 double PlanningPass::getPenalty(const WorkUnit& unit, std::uint32_t index, WorkerSlot slot,
                                 const Resources& capacity) const {
--- a/libs/job/src/PlanningPassExplanations.cpp
+++ b/libs/job/src/PlanningPassExplanations.cpp
@@ -17,6 +17,7 @@
            std::to_string(need.m_memoryMb) + " MB)";
 }
 
+/** Returns the capacity that the worker may have again, if it has shrunk. */
 Resources getFullCapacity(const WorkerSnapshot& worker) {
     return componentMax(worker.m_capacity, worker.m_fullCapacity);
 }
@@ -56,8 +57,7 @@
     });
 }
 
-/** Returns a comma-separated list of evacuated failure domains with workers of the unit's service.
- */
+/** Returns the evacuated failure domains with workers of the unit's service, comma-separated. */
 std::string PlanningPass::listEvacuated(const WorkUnit& unit) const {
     std::set<std::string_view> domains;
     for (const WorkerState& state : m_workerStates) {
@@ -84,6 +84,7 @@
     addExplanation(unit, PlanExplanation::Kind::CANNOT_RUN, explainWait(unit));
 }
 
+/** Returns what prevents the unit from starting, checking the most permanent reasons first. */
 std::string PlanningPass::explainWait(const WorkUnit& unit) const {
     const StepSpec& spec = unit.getSpec();
     const std::string& service = unit.getRecord().m_policy.m_service;
--- a/libs/job/src/PlanningPassOrder.cpp
+++ b/libs/job/src/PlanningPassOrder.cpp
@@ -16,6 +16,7 @@
 
 }  // namespace
 
+/** Returns the steps with waiting tasks, sorted in the order of their placement. */
 std::vector<WaitingStep> PlanningPass::collectSteps() {
     std::vector<WaitingStep> steps;
     for (std::size_t job = 0; job < m_input.m_jobs.size(); ++job) {
@@ -152,6 +153,7 @@
     return step.m_objective - Millis(static_cast<std::int64_t>(advance));
 }
 
+/** The estimate counts only while there are reservations, which only shorter work may precede. */
 PlanningPass::UnitClass PlanningPass::getUnitClass(const WorkUnit& unit) {
     const StepSpec& spec = unit.getSpec();
     const Resources need = spec.getCapacityDemand();
@@ -188,6 +190,7 @@
     return &eligible;
 }
 
+/** Returns the eligible workers with placement advice; none if `advised` is null. */
 const EligibleWorkers* PlanningPass::findAdvised(const EligibleWorkers& all,
                                                  const std::set<std::string>* advised) {
     EligibleWorkers& result = m_advised.emplace_back();
--- a/libs/job/src/PlanningPassPreemption.cpp
+++ b/libs/job/src/PlanningPassPreemption.cpp
@@ -19,6 +19,7 @@
     return need.m_cpuMillis / MILLIS_PER_CORE + CORES_PER_ACCELERATOR * need.m_accelerators;
 }
 
+/** Guaranteed units may also preempt urgent runs without a guarantee. */
 bool PlanningPass::mayPreempt(const WorkUnit& unit, const Occupant& occupant) const {
     if (occupant.m_isPreempted || occupant.m_isAwaited ||
         occupant.m_jobIndex == unit.m_waitingStep->m_jobIndex) {
@@ -133,6 +134,7 @@
                                      m_settings.m_maxWastePerOwnWork * own;
 }
 
+/** Finds the members' workers in a topology domain one by one, each at the lowest cost. */
 std::optional<PlanningPass::Preemption> PlanningPass::findPreemption(const WorkUnit& unit,
                                                                      DomainId domain) {
     Preemption preemption;
@@ -297,6 +299,7 @@
     releaseCapacity(m_workerStates[slot].m_releasing, m_workerStates[slot].m_overcommitted, need);
 }
 
+/** Allocates capacity to a unit, free capacity first, the rest from capacity about to be freed. */
 void PlanningPass::allocateReleasing(const WorkUnit& unit, const Assignment& assignment) {
     for (const WorkerSlot slot : assignment) {
         WorkerState& state = m_workerStates[slot];
--- a/libs/job/test/PlannerPropertyTest.cpp
+++ b/libs/job/test/PlannerPropertyTest.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Properties of the planner over random workers, guarantees, jobs, ends and lost workers.
+// Property tests of the planner with random workers, guarantees, jobs, run ends and lost workers.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
@@ -11,51 +11,51 @@
 namespace pierbank {
 namespace {
 
-int pick(int low, int highInclusive) {
+int drawInt(int low, int highInclusive) {
     return *rc::gen::inRange(low, highInclusive + 1);
 }
 
-/** A small region that random events happen to. Runs are started at once and stop at once. */
-class Story {
+/** Simulates a small region with random events. Runs start and stop without delay. */
+class RegionSimulation {
 public:
-    Story() {
-        const int workers = pick(2, 6);
-        const int perRack = pick(1, 3);
+    RegionSimulation() {
+        const int workers = drawInt(2, 6);
+        const int perRack = drawInt(1, 3);
         for (int i = 0; i < workers; ++i) {
             WorkerSnapshot worker;
             worker.m_id = {"h" + std::to_string(i), "life"};
             worker.m_service = "s";
             worker.m_rack = "r" + std::to_string(i / perRack);
             worker.m_failureDomain = "d" + std::to_string(i / perRack / 2);
-            worker.m_labels = {pick(0, 1) == 0 ? "a" : "b", worker.m_rack};
-            worker.m_capacity = {8000, 8000, static_cast<std::uint32_t>(pick(2, 8))};
+            worker.m_labels = {drawInt(0, 1) == 0 ? "a" : "b", worker.m_rack};
+            worker.m_capacity = {8000, 8000, static_cast<std::uint32_t>(drawInt(2, 8))};
             worker.m_acceptsWork = true;
             m_workers.push_back(worker);
         }
     }
 
-    struct Entry {
+    struct TestJob {
         JobRecord m_record;
         JobRun m_run;
     };
 
-    void step() {
-        if (m_shrinks && pick(0, 3) == 0) {
-            drawWorker().m_capacity.m_accelerators = static_cast<std::uint32_t>(pick(0, 8));
+    void applyRandomEvent() {
+        if (m_changesCapacity && drawInt(0, 3) == 0) {
+            drawWorker().m_capacity.m_accelerators = static_cast<std::uint32_t>(drawInt(0, 8));
         }
-        switch (pick(0, 9)) {
+        switch (drawInt(0, 9)) {
             case 0:
             case 1:
             case 2:
             case 3:
-                submit(static_cast<std::uint32_t>(pick(0, 2)), drawStep());
+                submit(static_cast<std::uint32_t>(drawInt(0, 2)), drawStep());
                 break;
             case 4:
             case 5:
-                endOne(RunEnd::DONE);
+                endSomeRun(RunEnd::DONE);
                 break;
             case 6:
-                endOne(RunEnd::FAILED);
+                endSomeRun(RunEnd::FAILED);
                 break;
             case 7: {
                 WorkerSnapshot& worker = drawWorker();
@@ -63,19 +63,19 @@
                 break;
             }
             case 8:
-                loseOne();
+                loseWorker();
                 break;
             default:
-                m_now += Millis(pick(1, 90) * 1000);
+                m_now += Millis(drawInt(1, 90) * 1000);
                 break;
         }
         plan();
     }
 
-    Entry& submit(std::uint32_t priority, StepSpec step) {
-        Entry& entry = m_jobs.emplace_back();
-        entry.m_record.m_id = "j" + std::to_string(++m_counter);
-        entry.m_record.m_organisation = "o" + std::to_string(pick(0, 2));
+    TestJob& submit(std::uint32_t priority, StepSpec step) {
+        TestJob& entry = m_jobs.emplace_back();
+        entry.m_record.m_id = "j" + std::to_string(++m_lastJobNumber);
+        entry.m_record.m_organisation = "o" + std::to_string(drawInt(0, 2));
         entry.m_record.m_policy = {"q", "s", priority, 3, 3.0, Millis(1000), std::nullopt};
         entry.m_record.m_acceptedAt = m_now;
         entry.m_record.m_spec.m_steps = {std::move(step)};
@@ -85,7 +85,7 @@
 
     TaskPlan plan() {
         std::vector<PlannedJob> jobs;
-        for (const Entry& entry : m_jobs) {
+        for (const TestJob& entry : m_jobs) {
             jobs.push_back({&entry.m_record, &entry.m_run, nullptr});
         }
         TaskPlannerSettings settings;
@@ -94,7 +94,7 @@
         checkStops(plan);
         std::map<TaskKey, std::uint32_t> gangRuns;
         for (const Placement& placement : plan.m_placements) {
-            Entry& entry = find(placement.m_task.m_job);
+            TestJob& entry = find(placement.m_task.m_job);
             TaskKey gang = placement.m_task;
             gang.m_index = 0;
             const std::uint32_t next = getNextRun(entry.m_record, entry.m_run, placement.m_task);
@@ -105,19 +105,19 @@
         }
         checkPlacements(plan);
         for (const Stop& stop : plan.m_stops) {
-            Entry& entry = find(stop.m_task.m_job);
+            TestJob& entry = find(stop.m_task.m_job);
             applyEnd(entry.m_record, entry.m_run, stop.m_task, stop.m_run, RunEnd::STOPPED, "c",
                      m_now);
         }
         finishStops();
-        checkRooms();
+        checkCapacity();
         checkGangs();
         return plan;
     }
 
     std::map<std::string, Resources> sumUsed() const {
         std::map<std::string, Resources> used;
-        for (const Entry& entry : m_jobs) {
+        for (const TestJob& entry : m_jobs) {
             for (const ActiveRun& run : listActiveRuns(entry.m_record.m_id, entry.m_run)) {
                 used[run.m_worker.m_host] +=
                         entry.m_record.m_spec.m_steps[run.m_task.m_step].getCapacityDemand();
@@ -126,7 +126,7 @@
         return used;
     }
 
-    /** No start goes beyond a worker's room, in which what is being stopped still counts. */
+    /** Checks that placements fit into their worker together with runs that are being stopped. */
     void checkPlacements(const TaskPlan& plan) {
         const std::map<std::string, Resources> used = sumUsed();
         for (const Placement& placement : plan.m_placements) {
@@ -135,9 +135,9 @@
         }
     }
 
-    /** No worker holds more than it has, unless its room has shrunk; and only what it may hold. */
-    void checkRooms() {
-        for (const Entry& entry : m_jobs) {
+    /** Checks the required labels of all active runs, and the capacity unless it may shrink. */
+    void checkCapacity() {
+        for (const TestJob& entry : m_jobs) {
             for (const ActiveRun& run : listActiveRuns(entry.m_record.m_id, entry.m_run)) {
                 const StepSpec& spec = entry.m_record.m_spec.m_steps[run.m_task.m_step];
                 const WorkerSnapshot& worker = *findWorker(run.m_worker.m_host);
@@ -147,78 +147,78 @@
         }
         std::map<std::string, Resources> used = sumUsed();
         for (const WorkerSnapshot& worker : m_workers) {
-            RC_ASSERT(m_shrinks || used[worker.m_id.m_host].fitsInto(worker.m_capacity));
+            RC_ASSERT(m_changesCapacity || used[worker.m_id.m_host].fitsInto(worker.m_capacity));
         }
     }
 
-    /** A gang has workers for all its members, in one part, or for none. */
+    /** Checks that all members of a gang are active within their topology domain, or none. */
     void checkGangs() {
-        for (const Entry& entry : m_jobs) {
+        for (const TestJob& entry : m_jobs) {
             const StepSpec& spec = entry.m_record.m_spec.m_steps[0];
-            const auto held = listActiveRuns(entry.m_record.m_id, entry.m_run);
-            if (!spec.m_isGang || held.empty()) {
+            const auto activeRuns = listActiveRuns(entry.m_record.m_id, entry.m_run);
+            if (!spec.m_isGang || activeRuns.empty()) {
                 continue;
             }
-            RC_ASSERT(held.size() == spec.m_tasks);
-            for (const ActiveRun& run : held) {
-                RC_ASSERT(run.m_run == held.front().m_run);
+            RC_ASSERT(activeRuns.size() == spec.m_tasks);
+            for (const ActiveRun& run : activeRuns) {
+                RC_ASSERT(run.m_run == activeRuns.front().m_run);
                 RC_ASSERT(spec.m_adjacency != Adjacency::RACK ||
                           findWorker(run.m_worker.m_host)->m_rack ==
-                                  findWorker(held.front().m_worker.m_host)->m_rack);
+                                  findWorker(activeRuns.front().m_worker.m_host)->m_rack);
             }
         }
     }
 
-    /** Only lower work gives way, or urgent work beyond its guarantee to one within. */
+    /** Checks that stopped runs are active, and of priority 0 only if there are guarantees. */
     void checkStops(const TaskPlan& plan) {
         for (const Stop& stop : plan.m_stops) {
-            const Entry& entry = find(stop.m_task.m_job);
+            const TestJob& entry = find(stop.m_task.m_job);
             const bool isLower = entry.m_record.m_policy.m_priority > 0;
             RC_ASSERT(isLower || !m_guarantees.empty());
             RC_ASSERT(entry.m_run.findActiveRun(stop.m_task, stop.m_run).has_value());
         }
     }
 
-    bool isRunning(const Entry& entry) const {
+    bool isRunning(const TestJob& entry) const {
         return listActiveRuns(entry.m_record.m_id, entry.m_run).size() ==
                entry.m_record.m_spec.m_steps[0].m_tasks;
     }
 
     std::vector<WorkerSnapshot> m_workers;
-    std::deque<Entry> m_jobs;
+    std::deque<TestJob> m_jobs;
     std::map<std::string, std::uint32_t> m_guarantees;
     Millis m_now{1'000'000};
-    /** Rooms shrink and grow, also below what runs in them. */
-    bool m_shrinks = false;
+    /** Whether the capacity of workers changes at random, also below the demand of their runs. */
+    bool m_changesCapacity = false;
 
 private:
     WorkerSnapshot& drawWorker() {
         const int last = static_cast<int>(m_workers.size()) - 1;
-        return m_workers[static_cast<std::size_t>(pick(0, last))];
+        return m_workers[static_cast<std::size_t>(drawInt(0, last))];
     }
 
     StepSpec drawStep() {
         StepSpec step;
-        step.m_isGang = pick(0, 2) == 0;
-        step.m_tasks = static_cast<std::uint32_t>(pick(1, 3));
-        step.m_need = {static_cast<std::uint32_t>(pick(1, 4)) * 1000, 100,
-                       static_cast<std::uint32_t>(pick(1, 4))};
-        step.m_estimate = Millis(pick(1, 60) * 1000);
-        step.m_adjacency = pick(0, 2) == 0 ? Adjacency::RACK : Adjacency::REGION;
-        step.m_requiredLabel = pick(0, 4) == 0 ? "a" : "";
-        step.m_maxPerWorker = static_cast<std::uint32_t>(pick(0, 3) == 0 ? 1 : 0);
-        step.m_savesProgress = pick(0, 1) == 0;
-        step.m_isFilling = pick(0, 7) == 0;
+        step.m_isGang = drawInt(0, 2) == 0;
+        step.m_tasks = static_cast<std::uint32_t>(drawInt(1, 3));
+        step.m_need = {static_cast<std::uint32_t>(drawInt(1, 4)) * 1000, 100,
+                       static_cast<std::uint32_t>(drawInt(1, 4))};
+        step.m_estimate = Millis(drawInt(1, 60) * 1000);
+        step.m_adjacency = drawInt(0, 2) == 0 ? Adjacency::RACK : Adjacency::REGION;
+        step.m_requiredLabel = drawInt(0, 4) == 0 ? "a" : "";
+        step.m_maxPerWorker = static_cast<std::uint32_t>(drawInt(0, 3) == 0 ? 1 : 0);
+        step.m_savesProgress = drawInt(0, 1) == 0;
+        step.m_isFilling = drawInt(0, 7) == 0;
         return step;
     }
 
-    Entry& find(const std::string& id) {
-        for (Entry& entry : m_jobs) {
+    TestJob& find(const std::string& id) {
+        for (TestJob& entry : m_jobs) {
             if (entry.m_record.m_id == id) {
                 return entry;
             }
         }
-        RC_FAIL("the plan names a job that is not there");
+        RC_FAIL("the plan names a job that does not exist");
         return m_jobs.front();
     }
 
@@ -231,21 +231,21 @@
         return nullptr;
     }
 
-    void endOne(RunEnd how) {
-        for (Entry& entry : m_jobs) {
-            const auto held = listActiveRuns(entry.m_record.m_id, entry.m_run);
-            if (!held.empty() && pick(0, 2) == 0) {
-                applyEnd(entry.m_record, entry.m_run, held.front().m_task, held.front().m_run, how,
-                         "", m_now);
+    void endSomeRun(RunEnd end) {
+        for (TestJob& entry : m_jobs) {
+            const auto activeRuns = listActiveRuns(entry.m_record.m_id, entry.m_run);
+            if (!activeRuns.empty() && drawInt(0, 2) == 0) {
+                applyEnd(entry.m_record, entry.m_run, activeRuns.front().m_task,
+                         activeRuns.front().m_run, end, "", m_now);
                 finishStops();
                 return;
             }
         }
     }
 
-    void loseOne() {
+    void loseWorker() {
         const WorkerSnapshot& worker = drawWorker();
-        for (Entry& entry : m_jobs) {
+        for (TestJob& entry : m_jobs) {
             for (const ActiveRun& run : listActiveRuns(entry.m_record.m_id, entry.m_run)) {
                 if (run.m_worker == worker.m_id) {
                     applyNotRunning(entry.m_record, entry.m_run, run.m_task, run.m_run, m_now);
@@ -256,7 +256,7 @@
     }
 
     void finishStops() {
-        for (Entry& entry : m_jobs) {
+        for (TestJob& entry : m_jobs) {
             for (const ActiveRun& run : listActiveRuns(entry.m_record.m_id, entry.m_run)) {
                 if (run.m_isStopping) {
                     applyEnd(entry.m_record, entry.m_run, run.m_task, run.m_run, RunEnd::STOPPED,
@@ -266,62 +266,66 @@
         }
     }
 
-    int m_counter = 0;
+    int m_lastJobNumber = 0;
 };
 
-RC_GTEST_PROP(PlannerPropertyTest, ItsPromisesHoldAfterEveryPass, ()) {
-    Story story;
-    if (pick(0, 1) == 0) {
-        story.m_guarantees["o0"] = static_cast<std::uint32_t>(pick(1, 6));
+RC_GTEST_PROP(PlannerPropertyTest, InvariantsHoldAfterEveryPass, ()) {
+    RegionSimulation simulation;
+    if (drawInt(0, 1) == 0) {
+        simulation.m_guarantees["o0"] = static_cast<std::uint32_t>(drawInt(1, 6));
     }
-    const int steps = pick(5, 40);
+    const int steps = drawInt(5, 40);
     for (int i = 0; i < steps; ++i) {
-        story.step();
+        simulation.applyRandomEvent();
     }
 }
 
-RC_GTEST_PROP(PlannerPropertyTest, ItsPromisesHoldWhileRoomsShrinkAndGrow, ()) {
-    Story story;
-    story.m_shrinks = true;
-    const int steps = pick(5, 40);
+RC_GTEST_PROP(PlannerPropertyTest, InvariantsHoldWhileCapacityChanges, ()) {
+    RegionSimulation simulation;
+    simulation.m_changesCapacity = true;
+    const int steps = drawInt(5, 40);
     for (int i = 0; i < steps; ++i) {
-        story.step();
+        simulation.applyRandomEvent();
     }
 }
 
-/** Whatever runs, also beyond rooms that have shrunk: urgent work within its guarantee begins in
- * the next pass, if a worker holds it. */
-RC_GTEST_PROP(PlannerPropertyTest, AGuaranteeIsReclaimedHoweverBusyTheRacksAre, ()) {
-    Story story;
-    story.m_shrinks = pick(0, 1) == 0;
-    const int steps = pick(5, 30);
+/**
+ * Urgent work within its guarantee starts as soon as the runs in its way have ended, if a worker
+ * has enough capacity, also when the workers have shrunk below the demand of their runs.
+ */
+RC_GTEST_PROP(PlannerPropertyTest, GuaranteedWorkStartsHoweverBusyTheWorkersAre, ()) {
+    RegionSimulation simulation;
+    simulation.m_changesCapacity = drawInt(0, 1) == 0;
+    const int steps = drawInt(5, 30);
     for (int i = 0; i < steps; ++i) {
-        story.step();
+        simulation.applyRandomEvent();
     }
-    for (WorkerSnapshot& worker : story.m_workers) {
+    for (WorkerSnapshot& worker : simulation.m_workers) {
         worker.m_acceptsWork = true;
     }
-    const std::uint32_t wanted = std::max(1U, story.m_workers.front().m_capacity.m_accelerators);
-    story.m_workers.front().m_capacity.m_accelerators = wanted;
+    const std::uint32_t wanted =
+            std::max(1U, simulation.m_workers.front().m_capacity.m_accelerators);
+    simulation.m_workers.front().m_capacity.m_accelerators = wanted;
     StepSpec step;
     step.m_need = {1000, 100, wanted};
     step.m_estimate = Millis(1000);
-    Story::Entry& urgent = story.submit(0, step);
-    // Only this one is within a guarantee: whatever else is urgent was handed in beyond it.
+    RegionSimulation::TestJob& urgent = simulation.submit(0, step);
+    // No other job has a guarantee, so that all other urgent work may be preempted.
     urgent.m_record.m_organisation = "owner";
-    story.m_guarantees = {{"owner", wanted}};
-    // One pass stops what is in the way, or awaits an end that is near; the next one places it.
-    story.plan();
-    story.m_now += Millis(1300);
-    story.plan();
-    story.plan();
-    RC_ASSERT(story.isRunning(urgent));
+    simulation.m_guarantees = {{"owner", wanted}};
+    // The first pass preempts runs, or waits for runs that are about to end. A later pass places
+    // the job.
+    simulation.plan();
+    simulation.m_now += Millis(1300);
+    simulation.plan();
+    simulation.plan();
+    RC_ASSERT(simulation.isRunning(urgent));
 }
 
-/** However much small work comes: a large unit that starves gets its workers in the end. */
-RC_GTEST_PROP(PlannerPropertyTest, ALargeUnitDoesNotStarve, ()) {
-    Story story;
-    for (WorkerSnapshot& worker : story.m_workers) {
+/** A large starved unit is placed although small units arrive all the time. */
+RC_GTEST_PROP(PlannerPropertyTest, LargeUnitDoesNotStarve, ()) {
+    RegionSimulation simulation;
+    for (WorkerSnapshot& worker : simulation.m_workers) {
         worker.m_capacity.m_accelerators = 4;
     }
     StepSpec small;
@@ -332,32 +336,32 @@
     large.m_isGang = true;
     large.m_tasks = 2;
     large.m_estimate = Millis(2000);
-    const auto fill = [&] {
-        // More than fits, each pass; a fifth of what runs ends meanwhile, at any place.
-        for (std::size_t i = 0; i < story.m_workers.size() * 2; ++i) {
-            story.submit(1, small);
+    const auto submitSmallJobs = [&] {
+        // More jobs arrive than fit. Between two passes a fifth of the active runs ends, anywhere.
+        for (std::size_t i = 0; i < simulation.m_workers.size() * 2; ++i) {
+            simulation.submit(1, small);
         }
     };
-    fill();
-    fill();
-    story.plan();
-    Story::Entry& starving = story.submit(2, large);
+    submitSmallJobs();
+    submitSmallJobs();
+    simulation.plan();
+    RegionSimulation::TestJob& starvingJob = simulation.submit(2, large);
     constexpr int ROUNDS = 60;
-    for (int round = 0; round < ROUNDS && !story.isRunning(starving); ++round) {
-        fill();
-        int place = round;
-        for (Story::Entry& entry : story.m_jobs) {
+    for (int round = 0; round < ROUNDS && !simulation.isRunning(starvingJob); ++round) {
+        submitSmallJobs();
+        int position = round;
+        for (RegionSimulation::TestJob& entry : simulation.m_jobs) {
             for (const ActiveRun& run : listActiveRuns(entry.m_record.m_id, entry.m_run)) {
-                if (++place % 5 == 0 && &entry != &starving) {
+                if (++position % 5 == 0 && &entry != &starvingJob) {
                     applyEnd(entry.m_record, entry.m_run, run.m_task, run.m_run, RunEnd::DONE, "",
-                             story.m_now);
+                             simulation.m_now);
                 }
             }
         }
-        story.m_now += Millis(1000);
-        story.plan();
+        simulation.m_now += Millis(1000);
+        simulation.plan();
     }
-    RC_ASSERT(story.isRunning(starving));
+    RC_ASSERT(simulation.isRunning(starvingJob));
 }
 
 }  // namespace
--- a/libs/job/test/TaskPlannerTest.cpp
+++ b/libs/job/test/TaskPlannerTest.cpp
@@ -10,10 +10,10 @@
 
 constexpr Millis NOW{1'000'000};
 
-/** Two racks of two workers, 8 accelerators each, and jobs on them. */
+/** Plans jobs on four workers with 8 accelerators each, in two racks of two workers. */
 class TaskPlannerTest : public ::testing::Test {
 protected:
-    struct Entry {
+    struct TestJob {
         JobRecord m_record;
         JobRun m_run;
     };
@@ -31,9 +31,9 @@
         }
     }
 
-    Entry& addJob(const std::string& id, std::uint32_t priority, StepSpec step,
-                  Millis acceptedAt = NOW) {
-        Entry& entry = m_jobs.emplace_back();
+    TestJob& addJob(const std::string& id, std::uint32_t priority, StepSpec step,
+                    Millis acceptedAt = NOW) {
+        TestJob& entry = m_jobs.emplace_back();
         entry.m_record.m_id = id;
         entry.m_record.m_organisation = "o";
         entry.m_record.m_policy = {"q", "s", priority, 3, 3.0, Millis(1000), std::nullopt};
@@ -51,12 +51,12 @@
         return step;
     }
 
-    /** A job that has run on a worker for some time. */
+    /** Adds a job with one task that has been running on a worker for the given time. */
     void addRunning(const std::string& id, int worker, std::uint32_t accelerators, Millis ran,
                     bool savesProgress = false) {
         StepSpec step = makeStep(1, accelerators);
         step.m_savesProgress = savesProgress;
-        Entry& entry = addJob(id, 2, step);
+        TestJob& entry = addJob(id, 2, step);
         TaskRun& task = entry.m_run.m_occurrences[0].m_steps[0].m_tasks[0];
         task.m_state = TaskState::PLACED;
         task.m_run = 1;
@@ -67,7 +67,7 @@
 
     TaskPlan plan() {
         std::vector<PlannedJob> jobs;
-        for (const Entry& entry : m_jobs) {
+        for (const TestJob& entry : m_jobs) {
             jobs.push_back({&entry.m_record, &entry.m_run});
         }
         return TaskPlanner(m_settings).plan(m_workers, jobs, m_remaining, m_guarantees, NOW);
@@ -75,20 +75,20 @@
 
     TaskPlannerSettings m_settings;
     std::vector<WorkerSnapshot> m_workers;
-    std::deque<Entry> m_jobs;
+    std::deque<TestJob> m_jobs;
     std::map<TaskKey, Millis> m_remaining;
     std::map<std::string, std::uint32_t> m_guarantees;
 };
 
-TEST_F(TaskPlannerTest, SmallWorkGoesWhereTheLeastRoomIsLeft) {
+TEST_F(TaskPlannerTest, PlacesSmallUnitsOnWorkersWithLeastFreeCapacity) {
     addRunning("a", 2, 5, Millis(100));
     addJob("b", 1, makeStep(1, 2));
-    const TaskPlan got = plan();
-    ASSERT_EQ(got.m_placements.size(), 1U);
-    EXPECT_EQ(got.m_placements[0].m_worker.m_host, "h2");
+    const TaskPlan result = plan();
+    ASSERT_EQ(result.m_placements.size(), 1U);
+    EXPECT_EQ(result.m_placements[0].m_worker.m_host, "h2");
 }
 
-TEST_F(TaskPlannerTest, AGangThatWantsOneRackGetsOneOrWaits) {
+TEST_F(TaskPlannerTest, GangWithRackAdjacencyGetsOneRackOrWaits) {
     StepSpec gang = makeStep(2, 8);
     gang.m_isGang = true;
     gang.m_adjacency = Adjacency::RACK;
@@ -102,30 +102,30 @@
     EXPECT_TRUE(plan().m_placements.empty());
 }
 
-TEST_F(TaskPlannerTest, LabelsAndTheLimitAWorkerAreKept) {
+TEST_F(TaskPlannerTest, RespectsRequiredLabelsAndMaxPerWorker) {
     StepSpec step = makeStep(3, 1);
     step.m_requiredLabel = "r1";
     step.m_maxPerWorker = 1;
     addJob("a", 1, step);
-    const TaskPlan got = plan();
-    ASSERT_EQ(got.m_placements.size(), 2U);
-    EXPECT_EQ(got.m_placements[0].m_worker.m_host, "h2");
-    EXPECT_EQ(got.m_placements[1].m_worker.m_host, "h3");
+    const TaskPlan result = plan();
+    ASSERT_EQ(result.m_placements.size(), 2U);
+    EXPECT_EQ(result.m_placements[0].m_worker.m_host, "h2");
+    EXPECT_EQ(result.m_placements[1].m_worker.m_host, "h3");
 }
 
-TEST_F(TaskPlannerTest, AGuaranteeEvictsWhereTheLeastWorkIsThrownAway) {
+TEST_F(TaskPlannerTest, GuaranteedWorkPreemptsRunsWithLeastLostWork) {
     m_guarantees["o"] = 8;
     addRunning("a", 0, 8, Millis(9000));
     addRunning("b", 1, 8, Millis(5000));
     addRunning("c", 2, 8, Millis(9000), true);
     addRunning("d", 3, 8, Millis(6000));
     addJob("e", 0, makeStep(1, 8));
-    const TaskPlan got = plan();
-    ASSERT_EQ(got.m_stops.size(), 1U);
-    EXPECT_EQ(got.m_stops[0].m_task.m_job, "c");
+    const TaskPlan result = plan();
+    ASSERT_EQ(result.m_stops.size(), 1U);
+    EXPECT_EQ(result.m_stops[0].m_task.m_job, "c");
 }
 
-TEST_F(TaskPlannerTest, BeyondTheGuaranteeUrgentWorkEvictsOnlyWhatItIsWorth) {
+TEST_F(TaskPlannerTest, UrgentWorkBeyondGuaranteePreemptsOnlyIfJustified) {
     for (int i = 0; i < 4; ++i) {
         addRunning("a" + std::to_string(i), i, 8, Millis(9000));
     }
@@ -135,7 +135,7 @@
     EXPECT_EQ(plan().m_stops.size(), 1U);
 }
 
-TEST_F(TaskPlannerTest, APlanSaysWhatUrgentWorkWaitsFor) {
+TEST_F(TaskPlannerTest, ReportsCausesOfUrgentWaits) {
     for (int i = 0; i < 4; ++i) {
         addRunning("a" + std::to_string(i), i, 8, Millis(9000));
     }
@@ -148,7 +148,8 @@
         return waits;
     };
     using Waits = std::vector<std::pair<std::string, std::string>>;
-    EXPECT_EQ(getWaits(), (Waits{{"e", "room"}})) << "what would give way is worth more";
+    EXPECT_EQ(getWaits(), (Waits{{"e", "room"}}))
+            << "the victims are worth more than the urgent work";
     m_guarantees["o"] = 16;
     EXPECT_EQ(getWaits(), (Waits{{"e", "stops"}}));
     m_remaining[{"a2", 0, 0, 0}] = Millis(200);
@@ -157,7 +158,7 @@
     EXPECT_EQ(getWaits(), (Waits{{"e", "ends"}, {"f", "workers"}}));
 }
 
-TEST_F(TaskPlannerTest, UrgentWorkWaitsForWorkThatIsAboutToEnd) {
+TEST_F(TaskPlannerTest, UrgentWorkWaitsForRunsThatAreAboutToEnd) {
     m_guarantees["o"] = 8;
     for (int i = 0; i < 4; ++i) {
         addRunning("a" + std::to_string(i), i, 8, Millis(900));
@@ -167,22 +168,22 @@
     EXPECT_TRUE(plan().m_stops.empty());
 }
 
-TEST_F(TaskPlannerTest, WorkThatCanStillMeetItsObjectiveGoesBeforeWorkThatCannot) {
+TEST_F(TaskPlannerTest, PlacesWorkThatCanMeetItsObjectiveFirst) {
     m_workers.resize(1);
     addJob("late", 1, makeStep(1, 8), NOW - Millis(4000));
     addJob("on-time", 1, makeStep(1, 8), NOW - Millis(1000));
-    const TaskPlan got = plan();
-    ASSERT_EQ(got.m_placements.size(), 1U);
-    EXPECT_EQ(got.m_placements[0].m_task.m_job, "on-time");
+    const TaskPlan result = plan();
+    ASSERT_EQ(result.m_placements.size(), 1U);
+    EXPECT_EQ(result.m_placements[0].m_task.m_job, "on-time");
 }
 
-class WorkersKeptForUrgentWork : public TaskPlannerTest {
+class PlannerHeadroomTest : public TaskPlannerTest {
 protected:
     void SetUp() override {
         m_settings.m_urgentHeadroom["s"] = 8;
         addRunning("old", 0, 4, Millis(100));
     }
-    std::set<std::string> placeMany(std::uint32_t priority) {
+    std::set<std::string> listHostsOfNewJob(std::uint32_t priority) {
         addJob("new", priority, makeStep(32, 1));
         std::set<std::string> hosts;
         for (const Placement& placement : plan().m_placements) {
@@ -192,16 +193,16 @@
     }
 };
 
-TEST_F(WorkersKeptForUrgentWork, AreThoseWithTheLeastOtherWorkAndTakeNoOther) {
-    EXPECT_EQ(placeMany(2), (std::set<std::string>{"h0", "h2", "h3"}));
+TEST_F(PlannerHeadroomTest, ConsistsOfWorkersWithLeastOtherWorkAndExcludesOtherWork) {
+    EXPECT_EQ(listHostsOfNewJob(2), (std::set<std::string>{"h0", "h2", "h3"}));
 }
 
-TEST_F(WorkersKeptForUrgentWork, TakeUrgentWork) {
-    EXPECT_EQ(placeMany(0), (std::set<std::string>{"h0", "h1", "h2", "h3"}));
+TEST_F(PlannerHeadroomTest, AcceptsUrgentWork) {
+    EXPECT_EQ(listHostsOfNewJob(0), (std::set<std::string>{"h0", "h1", "h2", "h3"}));
 }
 
-TEST_F(WorkersKeptForUrgentWork, TakeTheFirstOfAJobThatWaitedWhileHardlyHalfIsInUse) {
-    // All accelerators, but few processors.
+TEST_F(PlannerHeadroomTest, AcceptsFirstRunOfWaitingJobWhileUnderutilized) {
+    // These runs use all accelerators of their workers, but few processors.
     addRunning("busy2", 2, 8, Millis(100));
     addRunning("busy3", 3, 8, Millis(100));
     addJob("late", 2, makeStep(2, 4), NOW - Millis(2000));
@@ -214,15 +215,15 @@
     EXPECT_EQ(hosts["later"], std::set<std::string>{"h1"});
 }
 
-TEST_F(WorkersKeptForUrgentWork, AreTheLastThatOtherWorkGets) {
-    EXPECT_EQ(placeMany(2).count("h1"), 0U);
+TEST_F(PlannerHeadroomTest, IsUsedLastByOtherWork) {
+    EXPECT_EQ(listHostsOfNewJob(2).count("h1"), 0U);
     m_jobs.back().m_record.m_acceptedAt = NOW - Millis(2000);
     for (const Placement& placement : plan().m_placements) {
         EXPECT_NE(placement.m_worker.m_host, "h1");
     }
 }
 
-TEST_F(WorkersKeptForUrgentWork, TakeNoOtherWhileMostIsInUseHoweverLongItWaited) {
+TEST_F(PlannerHeadroomTest, ExcludesWaitingJobsWhileWellUtilized) {
     for (int worker = 2; worker < 4; ++worker) {
         addRunning("busy" + std::to_string(worker), worker, 8, Millis(100));
         m_jobs.back().m_record.m_spec.m_steps[0].m_need = {64'000, 64'000, 8};
@@ -232,44 +233,44 @@
     EXPECT_TRUE(plan().m_placements.empty());
 }
 
-TEST_F(WorkersKeptForUrgentWork, AreAQuarterOfThemAtMost) {
+TEST_F(PlannerHeadroomTest, IsLimitedToMaxHeadroomShare) {
     m_settings.m_urgentHeadroom["s"] = 1000;
-    EXPECT_EQ(placeMany(2).size(), 3U);
+    EXPECT_EQ(listHostsOfNewJob(2).size(), 3U);
 }
 
-TEST_F(WorkersKeptForUrgentWork, AreNoneWhenTheDemandFillsNoWorker) {
+TEST_F(PlannerHeadroomTest, IsEmptyWhenBelowOneWholeWorker) {
     m_settings.m_urgentHeadroom["s"] = 7;
-    EXPECT_EQ(placeMany(2).size(), 4U);
+    EXPECT_EQ(listHostsOfNewJob(2).size(), 4U);
 }
 
-TEST_F(TaskPlannerTest, UrgentWorkGoesToFastWorkersAndOtherWorkLeavesThemFree) {
+TEST_F(TaskPlannerTest, UrgentWorkPrefersFastWorkersAndOtherWorkSlowOnes) {
     m_workers[0].m_slowness = 1.25;
     m_workers[2].m_slowness = 0.8;
     addJob("u", 0, makeStep(1, 4));
     addJob("o", 1, makeStep(1, 8));
-    const TaskPlan got = plan();
-    ASSERT_EQ(got.m_placements.size(), 2U);
-    EXPECT_EQ(got.m_placements[0].m_task.m_job, "u");
-    EXPECT_EQ(got.m_placements[0].m_worker.m_host, "h2");
-    EXPECT_EQ(got.m_placements[1].m_worker.m_host, "h0");
+    const TaskPlan result = plan();
+    ASSERT_EQ(result.m_placements.size(), 2U);
+    EXPECT_EQ(result.m_placements[0].m_task.m_job, "u");
+    EXPECT_EQ(result.m_placements[0].m_worker.m_host, "h2");
+    EXPECT_EQ(result.m_placements[1].m_worker.m_host, "h0");
 }
 
-TEST_F(TaskPlannerTest, WhatKeepsOffItsFormerHostsTellsNothingOfOthersThatMayGoThere) {
+TEST_F(TaskPlannerTest, ExcludedHostsOfOneUnitDoNotAffectOtherUnits) {
     for (int i = 0; i < 3; ++i) {
         addRunning("r" + std::to_string(i), i, 8, Millis(100));
     }
-    // On h3 alone is room, and the first job failed there; it keeps off as long as others could
-    // hold it.
-    Entry& failed = addJob("a", 1, makeStep(1, 8), NOW - Millis(10));
+    // Only h3 has free capacity, but the first job failed there. The job avoids the host while
+    // other workers could run it.
+    TestJob& failed = addJob("a", 1, makeStep(1, 8), NOW - Millis(10));
     failed.m_run.m_occurrences[0].m_steps[0].m_tasks[0].m_failedHosts.add("h3");
     addJob("b", 1, makeStep(1, 8));
-    const TaskPlan got = plan();
-    ASSERT_EQ(got.m_placements.size(), 1U);
-    EXPECT_EQ(got.m_placements[0].m_task.m_job, "b");
-    EXPECT_EQ(got.m_placements[0].m_worker.m_host, "h3");
+    const TaskPlan result = plan();
+    ASSERT_EQ(result.m_placements.size(), 1U);
+    EXPECT_EQ(result.m_placements[0].m_task.m_job, "b");
+    EXPECT_EQ(result.m_placements[0].m_worker.m_host, "h3");
 }
 
-TEST_F(TaskPlannerTest, AGangThatFindsNoRoomSaysSoForLargerOnesOnly) {
+TEST_F(TaskPlannerTest, FailedGangPlacementDoesNotAffectSmallerGangs) {
     addRunning("r", 0, 8, Millis(100));
     StepSpec wide = makeStep(4, 8);
     wide.m_isGang = true;
@@ -278,13 +279,13 @@
     addJob("a", 1, wide, NOW - Millis(10));
     addJob("b", 1, wide, NOW - Millis(5));
     addJob("c", 1, narrow);
-    const TaskPlan got = plan();
-    ASSERT_EQ(got.m_placements.size(), 3U);
-    EXPECT_EQ(got.m_placements[0].m_task.m_job, "c");
-    EXPECT_EQ(got.m_waiting, 2U);
+    const TaskPlan result = plan();
+    ASSERT_EQ(result.m_placements.size(), 3U);
+    EXPECT_EQ(result.m_placements[0].m_task.m_job, "c");
+    EXPECT_EQ(result.m_waiting, 2U);
 }
 
-TEST_F(TaskPlannerTest, AGangThatNothingCouldHoldSaysSoAlsoAfterASmallerOneThatWaits) {
+TEST_F(TaskPlannerTest, ReportsImpossibleGangAfterSmallerWaitingGang) {
     addRunning("r", 0, 8, Millis(100));
     StepSpec wide = makeStep(4, 8);
     wide.m_isGang = true;
@@ -292,37 +293,37 @@
     tooWide.m_isGang = true;
     addJob("a", 1, wide, NOW - Millis(10));
     addJob("b", 1, tooWide);
-    const TaskPlan got = plan();
-    ASSERT_EQ(got.m_explanations.size(), 2U);
-    EXPECT_EQ(got.m_explanations[0].m_kind, PlanExplanation::Kind::WAITS);
-    EXPECT_EQ(got.m_explanations[1].m_kind, PlanExplanation::Kind::CANNOT_RUN);
+    const TaskPlan result = plan();
+    ASSERT_EQ(result.m_explanations.size(), 2U);
+    EXPECT_EQ(result.m_explanations[0].m_kind, PlanExplanation::Kind::WAITS);
+    EXPECT_EQ(result.m_explanations[1].m_kind, PlanExplanation::Kind::CANNOT_RUN);
 }
 
-/** Workers that restart in turn would else take the same task with each of them. */
-TEST_F(TaskPlannerTest, TasksThatWereLostWithTwoWorkersAreSpreadOverTheOthers) {
+/** Guards against placing a task on the next worker of a rolling restart, again and again. */
+TEST_F(TaskPlannerTest, SpreadsTasksWithRepeatedCrashesOverOtherWorkers) {
     constexpr int TASKS = 24;
     std::map<std::string, int> chosen;
     for (int i = 0; i < TASKS; ++i) {
         m_jobs.clear();
-        Entry& entry = addJob("job" + std::to_string(i), 1, makeStep(1, 1));
+        TestJob& entry = addJob("job" + std::to_string(i), 1, makeStep(1, 1));
         TaskRun& task = entry.m_run.m_occurrences[0].m_steps[0].m_tasks[0];
         task.m_lastRun = 2;
         task.m_losses.record({m_workers[0].m_id, 1, LossCategory::BYSTANDER, Millis(500)});
         task.m_losses.record({{"h9", "life"}, 2, LossCategory::BYSTANDER, Millis(700)});
-        const TaskPlan got = plan();
-        ASSERT_EQ(got.m_placements.size(), 1U);
-        ++chosen[got.m_placements[0].m_worker.m_host];
+        const TaskPlan result = plan();
+        ASSERT_EQ(result.m_placements.size(), 1U);
+        ++chosen[result.m_placements[0].m_worker.m_host];
     }
     EXPECT_EQ(chosen.count("h0"), 0U);
     EXPECT_EQ(chosen.size(), 3U);
 }
 
-TEST_F(TaskPlannerTest, WithoutReasonsThePlanIsTheSame) {
+TEST_F(TaskPlannerTest, PlanDoesNotDependOnExplanations) {
     addRunning("r", 0, 8, Millis(100));
     addJob("a", 0, makeStep(3, 8));
     addJob("b", 1, makeStep(2, 8));
     std::vector<PlannedJob> jobs;
-    for (const Entry& entry : m_jobs) {
+    for (const TestJob& entry : m_jobs) {
         jobs.push_back({&entry.m_record, &entry.m_run});
     }
     class NoForecast final : public RunForecast {
@@ -344,7 +345,7 @@
     }
 }
 
-TEST_F(TaskPlannerTest, OthersGiveWayOnAFastWorkerRatherThanOnASlowOne) {
+TEST_F(TaskPlannerTest, PrefersVictimsOnFastWorkers) {
     m_guarantees["o"] = 8;
     for (int i = 0; i < 4; ++i) {
         addRunning("r" + std::to_string(i), i, 8, Millis(1000));
@@ -353,18 +354,18 @@
     m_workers[1].m_slowness = 1.25;
     m_workers[3].m_slowness = 0.8;
     addJob("u", 0, makeStep(1, 8), NOW - Millis(2000));
-    const TaskPlan got = plan();
-    ASSERT_EQ(got.m_stops.size(), 1U);
-    EXPECT_EQ(got.m_stops[0].m_task.m_job, "r3");
+    const TaskPlan result = plan();
+    ASSERT_EQ(result.m_stops.size(), 1U);
+    EXPECT_EQ(result.m_stops[0].m_task.m_job, "r3");
 }
 
-TEST_F(TaskPlannerTest, KeptWorkersAreFastOnes) {
+TEST_F(TaskPlannerTest, HeadroomPrefersFastWorkers) {
     m_settings.m_urgentHeadroom["s"] = 8;
     m_workers[2].m_slowness = 0.8;
     addJob("a", 1, makeStep(4, 8));
-    const TaskPlan got = plan();
-    ASSERT_EQ(got.m_placements.size(), 3U);
-    for (const Placement& placement : got.m_placements) {
+    const TaskPlan result = plan();
+    ASSERT_EQ(result.m_placements.size(), 3U);
+    for (const Placement& placement : result.m_placements) {
         EXPECT_NE(placement.m_worker.m_host, "h2");
     }
 }
