--- a/libs/control/include/pierbank/control/CapacityRefusals.h
+++ b/libs/control/include/pierbank/control/CapacityRefusals.h
@@ -10,16 +10,18 @@
 namespace pierbank {
 
 /**
- * Workers that refused a start for want of room although they seemed to have it: their room has
- * shrunk, and the heartbeat that says so is on its way. Such a worker was asked 100 times a second
- * (test); now it is left alone until it says something new, or for a pause that doubles.
+ * Pauses placements on workers that refused a start for insufficient capacity although their last
+ * report showed enough. The capacity of such a worker has shrunk, and the heartbeat that reports
+ * the change has not arrived yet. Without a pause, the start was repeated up to 100 times per
+ * second. The pause ends with the next report of the worker; its length doubles with each refusal.
  */
 class CapacityRefusals {
 public:
-    /** A start was refused there. */
+    /** Records a refusal, and begins a pause unless the host is paused already. */
     void recordRefusal(const std::string& host, Millis now);
-    /** The worker told what it has, or something ended there. */
+    /** Ends the pause of a host, because its worker reported its capacity or a run ended there. */
     void forget(const std::string& host) { m_pauses.erase(host); }
+    /** Returns whether no run should be placed on the host at present. */
     bool isPaused(const std::string& host, Millis now) const;
     void clear() { m_pauses.clear(); }
 
--- a/libs/control/include/pierbank/control/HostSpeeds.h
+++ b/libs/control/include/pierbank/control/HostSpeeds.h
@@ -11,60 +11,70 @@
 
 namespace pierbank {
 
-/** How fast a run of a step advanced on a host. */
+/** Observed progress rate of one run. */
 struct SpeedSample {
+    /** Worker that executed the run. */
     std::string_view m_host;
-    /** `JOB.OCCURRENCE.STEP`: runs of one step do like work. */
+    /** Step as `JOB.OCCURRENCE.STEP`; runs of one step do similar work. */
     std::string m_step;
-    /** Percent a second. */
+    /** Percent per second. */
     double m_rate = 0;
 };
 
 /**
- * Which hosts are faster than others, learnt from runs of like work: how a run advances against
- * the other runs of its step, whatever their declared time. Hosts of one make differ by a half and
- * more (0.8 to 1.25 of the mean on the fleets seen), which is all that urgent work has to spare.
+ * Estimates the relative speeds of hosts by comparing the progress rate of each run with those of
+ * the other runs of the same step, independent of declared run times. Speeds of hosts of the same
+ * type differ by half and more (0.8 to 1.25 times the mean), which uses up the slack of urgent
+ * work. Hosts are named by any text that identifies them; the controller passes incarnations of
+ * workers.
  *
- * log(rate) is taken as the step's own value, plus the host's, plus noise. A step's value is the
- * mean over its runs, less what their hosts give; a host's is the mean of what is left, drawn
- * towards none while few runs tell.
+ * The model is log(rate) = step value + host value + noise. The value of a step is the mean over
+ * its runs after the host values are subtracted. The value of a host is the mean of the remaining
+ * deviations, shrunk towards zero while there are few samples.
  */
 class HostSpeeds {
 public:
-    /** Adds what one run tells; once a run, or a long one counts more than a short one. */
+    /** Adds the rate of one run. To be called once for each run, since long runs would otherwise
+     * weigh more than short ones. Rates that are not positive are ignored. */
     void recordSample(const SpeedSample& sample, Millis now);
-    /** Work takes so many times as long there as on a mean host; 1 while nothing tells. */
+    /** Returns the factor by which work takes longer than on an average host; 1 without samples. */
     double getSlowness(std::string_view host) const;
-    /** Runs that have told something of the host, older ones for less. */
+    /** Returns the number of samples of the host, of which older ones count less. */
     double getEvidence(std::string_view host) const;
     void clear();
 
 private:
-    /** A step needs so many runs before one more is held against them. */
-    static constexpr double LEAST_FELLOWS = 2;
-    /** Each further run makes older ones count for this much: about the last twenty count. */
-    static constexpr double MEMORY = 0.95;
-    /** A host counts as a mean one by so many runs: one run is off by 0.15, hosts by 0.2. */
+    /** Minimum number of earlier runs of a step with which another run is compared. */
+    static constexpr double MIN_STEP_RUNS = 2;
+    /** Factor applied to the weight of older samples with each new one: about the last twenty
+     * samples count. */
+    static constexpr double SAMPLE_DECAY = 0.95;
+    /** Weight, in samples, of the assumption that a host is average. Follows from the spread of
+     * log(rate): 0.15 between runs on one host, 0.2 between hosts. */
     static constexpr double PRIOR_RUNS = 0.6;
-    /** Beyond a factor of four a run was held up rather than slow. */
-    static constexpr double MOST_LOG = 1.4;
-    /** Steps that told nothing for so long are forgotten. */
-    static constexpr Millis STEP_MEMORY{60'000};
-    /** The same for hosts: those that are replaced (240 a day of 690) must not gather. */
-    static constexpr Millis HOST_MEMORY{3'600'000};
+    /** Maximum deviation of log(rate). A run that is slower by more than a factor of four was
+     * delayed by something else than the speed of its host. */
+    static constexpr double MAX_LOG_DEVIATION = 1.4;
+    /** Time without samples after which a step is removed. */
+    static constexpr Millis STEP_RETENTION{60'000};
+    /** Time without samples after which a host is removed, so that entries of replaced hosts do not
+     * accumulate. */
+    static constexpr Millis HOST_RETENTION{3'600'000};
 
+    /** Weighted mean. */
     struct Mean {
         double m_sum = 0;
         double m_count = 0;
-        Millis m_at{0};
+        Millis m_updatedAt{0};
     };
 
+    /** Returns the estimated host value: log of the speed relative to the mean. */
     double getLogSpeed(std::string_view host) const;
-    void forgetOld(Millis now);
+    void removeExpired(Millis now);
 
     std::map<std::string, Mean, std::less<>> m_hosts;
     std::map<std::string, Mean> m_steps;
-    Millis m_sweptAt{0};
+    Millis m_lastCleanupAt{0};
 };
 
 }  // namespace pierbank
--- a/libs/control/include/pierbank/control/PersistedEnds.h
+++ b/libs/control/include/pierbank/control/PersistedEnds.h
@@ -11,26 +11,29 @@
 namespace pierbank {
 
 /**
- * Which listed ends of runs are kept in the store. A worker forgets all ends up to a number, so
- * a number may be named only when every end up to it is kept.
+ * Tracks which of the ends reported by workers are persisted. Workers number the ends of their runs
+ * and discard all ends up to an acknowledged number, so a number may only be acknowledged when all
+ * ends up to that number are persisted.
  */
 class PersistedEnds {
 public:
-    /** @return whether this end is seen for the first time. */
+    /** Records a reported end. @return whether the end is reported for the first time. */
     bool recordReported(const WorkerId& worker, std::uint64_t number);
-    /** The end is kept, or needs no keeping. */
+    /** Marks an end as persisted, or as one that need not be persisted. */
     void markPersisted(const WorkerId& worker, std::uint64_t number);
-    /** The highest number up to which all ends are kept; zero for none. */
+    /** Returns the highest number up to which all ends are persisted; zero for none. */
     std::uint64_t getPersisted(const WorkerId& worker) const;
+    /** Removes the ends of one incarnation of a worker. */
     void forget(const WorkerId& worker) { m_incarnations.erase(worker); }
     void clear() { m_incarnations.clear(); }
 
 private:
-    struct Life {
-        std::uint64_t m_highest = 0;
-        std::set<std::uint64_t> m_open;
+    struct IncarnationEnds {
+        std::uint64_t m_highestReported = 0;
+        /** Reported ends that are not persisted yet. */
+        std::set<std::uint64_t> m_pending;
     };
-    std::map<WorkerId, Life> m_incarnations;
+    std::map<WorkerId, IncarnationEnds> m_incarnations;
 };
 
 }  // namespace pierbank
--- a/libs/control/include/pierbank/control/PlanThrottle.h
+++ b/libs/control/include/pierbank/control/PlanThrottle.h
@@ -7,21 +7,23 @@
 namespace pierbank {
 
 /**
- * When the next plan may be made. While hundreds of workers link, each of them is a reason for a
- * new plan; on a slow host such plans took all of the processor, and the lease under which the host
- * led lapsed meanwhile. After each plan the rest of the leader's work gets its share of the time.
+ * Limits the share of time that the leader spends on planning. When hundreds of workers connect,
+ * each of them triggers a new plan. On a slow host these plans duration all processor time, so that
+ * the leader's lease lapsed. After each plan, the leader's other work gets its share of the time.
  */
 class PlanThrottle {
 public:
-    /** Of the time, what plans may take. */
+    /** Maximum share of time spent on planning. */
     static constexpr double PLAN_SHARE = 0.25;
 
-    void recordPlan(Millis begunAt, Millis endedAt) {
-        const auto took = static_cast<double>((endedAt - begunAt).count());
-        const double pause = took * (1.0 - PLAN_SHARE) / PLAN_SHARE;
+    /** Records a plan that was made from `startedAt` to `endedAt`. */
+    void recordPlan(Millis startedAt, Millis endedAt) {
+        const auto duration = static_cast<double>((endedAt - startedAt).count());
+        const double pause = duration * (1.0 - PLAN_SHARE) / PLAN_SHARE;
         m_nextAt = endedAt + Millis(static_cast<std::int64_t>(pause));
     }
 
+    /** Returns the earliest time at which the next plan may start. */
     Millis getNextAt() const noexcept { return m_nextAt; }
 
 private:
--- a/libs/control/include/pierbank/control/UrgentDemand.h
+++ b/libs/control/include/pierbank/control/UrgentDemand.h
@@ -12,38 +12,45 @@
 
 namespace pierbank {
 
+/** Settings of UrgentDemand. */
 struct UrgentDemandSettings {
-    /** An arrival counts half after this time. */
+    /** Time after which an arrival counts half. */
     Millis m_halfLife{10'000};
-    /** Arrivals that must be in sight before any room is kept. */
-    double m_leastArrivals = 1.0;
+    /** Minimum decayed number of arrivals for which headroom is provided. */
+    double m_minArrivals = 1.0;
 };
 
 /**
- * How much urgent work arrives, as observed: what room has to be kept so that the next urgent job
- * finds some without others giving way, which takes them as long as a stop takes.
+ * Estimates from the observed arrivals of urgent jobs how much headroom each service needs, so that
+ * the next urgent job finds free capacity. Without headroom, the job would have to wait until
+ * preempted runs have stopped.
  */
 class UrgentDemand {
 public:
     explicit UrgentDemand(const UrgentDemandSettings& settings) : m_settings(settings) {}
 
-    /** A job that was accepted at `acceptedAt`, wall time; others than urgent ones don't count. */
+    /** Records a job at its time of acceptance. Only jobs of priority 0, the urgent ones, count. */
     void recordArrival(const JobRecord& record);
-    /** Accelerators to keep for urgent jobs of a service, those that run included. */
+    /** Returns the number of accelerators that urgent jobs of a service need, running jobs
+     * included. */
     std::uint32_t getHeadroom(const std::string& service, Millis wallNow) const;
-    /** Services for which urgent work has arrived. */
+    /** Returns the services for which urgent jobs have arrived. */
     std::vector<std::string> listServices() const;
     void clear() { m_services.clear(); }
 
 private:
+    /** Decayed sums over the arrivals of one service. */
     struct Arrivals {
-        Millis m_at{0};
-        /** Decayed sums: arrivals, their accelerators, and accelerators times declared time in ms.
-         */
+        /** Wall time of the latest arrival, to which the sums are decayed. */
+        Millis m_updatedAt{0};
         double m_count = 0;
+        /** Accelerators of the largest step of each job. */
         double m_accelerators = 0;
+        /** Accelerators times declared run time in ms, over all steps. */
         double m_work = 0;
     };
+
+    /** Returns the factor by which sums decay in the given time; 1 for negative times. */
     double getDecay(Millis passed) const;
 
     const UrgentDemandSettings m_settings;
--- a/libs/control/include/pierbank/control/WorkerHealth.h
+++ b/libs/control/include/pierbank/control/WorkerHealth.h
@@ -12,100 +12,117 @@
 
 namespace pierbank {
 
-/** Times are the least ones: where runs take longer, they grow with them by the given factors. */
+/**
+ * Settings of WorkerHealth. Each time with a factor is a minimum: the time in force is the factor
+ * times the mean run time of successful runs, if that is longer.
+ */
 struct WorkerHealthSettings {
-    /** Blame halves in this time: a host that was repaired has to be tried again. */
+    /** Half-life of the failure score, so that a repaired host is used again. */
     Millis m_halfLife{15'000};
     double m_halfLifeFactor = 2.5;
-    /** A host that fails everything does so within some 50 ms; work that fails by itself, seldom.
-     */
-    Millis m_quickEnd{400};
-    double m_quickFactor = 0.05;
-    /** Blame for a run that failed quickly, and for any other. */
-    double m_quickBlame = 1.0;
-    double m_slowBlame = 0.4;
-    /** What is left of the blame after a run that began since then and ended well. */
-    double m_forgiveness = 0.4;
-    /** From here on a host is suspect: one quick failure, or two others. */
-    double m_suspectAt = 0.75;
-    /** From here on it is avoided for a while: quick failures of two jobs. */
-    double m_avoidAt = 1.5;
-    /** How long; each further time for twice as long. */
-    Millis m_pause{3000};
-    double m_pauseFactor = 0.5;
-    Millis m_maxPause{60'000};
-    /** How long it is known where a job failed; in times of `m_halfLife` as it is in force. */
-    double m_jobMemoryFactor = 4.0;
+    /** Maximum run time of a quick failure. A host on which everything fails does so within about
+     * 50 ms; tasks with a fault of their own rarely fail that early. */
+    Millis m_quickFailureTime{400};
+    double m_quickFailureTimeFactor = 0.05;
+    /** Failure score added by a quick failure. */
+    double m_quickFailureScore = 1.0;
+    /** Failure score added by any other failure. */
+    double m_slowFailureScore = 0.4;
+    /** Factor applied to the failure score after a successful run that started after the last
+     * failure. */
+    double m_successFactor = 0.4;
+    /** Failure score from which a host is suspect: one quick failure, or two others. */
+    double m_suspectThreshold = 0.75;
+    /** Failure score from which a host is avoided for a time: quick failures of two jobs. */
+    double m_avoidThreshold = 1.5;
+    /** Time for which a host is avoided; doubles each time that it is avoided again. */
+    Millis m_minAvoidTime{3000};
+    double m_avoidTimeFactor = 0.5;
+    /** Maximum time for which a host is avoided; grows with run times by `m_halfLifeFactor`. */
+    Millis m_maxAvoidTime{60'000};
+    /** Time for which the hosts on which a job failed are remembered, as a multiple of the
+     * half-life in force. */
+    double m_jobRetentionFactor = 4.0;
 };
 
-/** What one end of a run says about its host. */
+/** End of a run, as evidence for or against its host. */
 struct RunEvidence {
     std::string m_host;
     std::string m_job;
     RunEnd m_end = RunEnd::DONE;
-    /** From the placement to the end. */
+    /** Time from the placement to the end. */
     Millis m_ran{0};
 };
 
 /**
- * Blames hosts by what their runs come to. Each job counts once against a host, quick failures
- * more than others; blame fades with time and with runs that end well. A job that fails on several
- * hosts is itself to blame.
+ * Rates hosts by the results of their runs. Each job adds to the failure score of a host once,
+ * quick failures more than others. The score decays with time and with successful runs. A job that
+ * fails on several hosts is considered faulty itself and does not count against them.
  */
 class WorkerHealth {
 public:
     explicit WorkerHealth(const WorkerHealthSettings& settings) : m_settings(settings) {}
 
+    /** Updates the score of the host after a run succeeded or failed; other ends have no effect. */
     void recordRunEnd(const RunEvidence& evidence, Millis now);
     /**
-     * Runs stood still there and are moved: as bad as one that failed quickly, however many they
-     * are, since they stood for one cause. Before, 93 of 10,263 urgent jobs were put on a hanging
-     * worker from which another had just been moved (720 days with faults).
+     * Records that runs stalled on the host and are moved away. However many runs stalled, they
+     * count like one quick failure, since they have a common cause. Without this, urgent jobs were
+     * placed on a hanging worker from which another job had just been moved.
      */
     void recordStalled(const std::string& host, Millis now);
-    /** When runs last stood still there; empty once one that began since has advanced. */
+    /** Returns when runs last stalled on the host; empty if none did, or if recordAdvanced() was
+     * called since. */
     std::optional<Millis> getStalledAt(const std::string& host) const;
-    /** A run that began since then advances: what hung goes on. */
+    /** Records progress of a run that started after the stall: the host has recovered. */
     void recordAdvanced(const std::string& host, Millis now);
-    /** New runs should go elsewhere. */
+    /** Returns whether new runs should be placed on other hosts. */
     bool isAvoided(const std::string& host, Millis now) const;
-    /** It may have to be tried, but not with work that a failure costs much. */
+    /** Returns whether the host is suspect: it may be used, but not for work that a failure would
+     * set back much. */
     bool isSuspect(const std::string& host, Millis now) const;
     void clear();
 
 private:
     struct Host {
-        double m_blame = 0;
-        Millis m_blamedAt{0};
+        double m_failureScore = 0;
+        /** Time at which `m_failureScore` was updated; the score decays from there. */
+        Millis m_scoreUpdatedAt{0};
+        /** Time of the last failure or stall. */
         Millis m_failedAt{0};
-        /** Jobs that count in the blame, and with how much. */
+        /** Share of each job in the failure score, by the job's id. */
         std::map<std::string, double> m_jobs;
         Millis m_avoidedUntil{0};
-        unsigned m_times = 0;
-        /** Runs stood still; counts in the blame like one quick failure. */
+        /** Number of times that the host had to be avoided since it was last found healthy. */
+        unsigned m_avoidCount = 0;
+        /** Time of the last stall, which is part of the failure score like one quick failure. */
         std::optional<Millis> m_stalledAt;
     };
     struct Job {
+        /** Hosts on which the job failed. */
         std::set<std::string> m_hosts;
+        /** Time of the last failure. */
         Millis m_failedAt{0};
     };
 
-    /** The least time, or so many times what a run takes that ends well. */
-    Millis scale(Millis least, double factor) const;
-    double getBlame(const Host& host, Millis now) const;
-    void noteDone(Host& host, Millis startedAt, Millis now);
-    void noteFailed(const RunEvidence& evidence, Millis now);
-    /** The job failed on another host, of which no other job says anything bad. */
-    bool failedOnSoundHost(const RunEvidence& evidence, const Job& job, Millis now) const;
-    /** Takes the blame of a job back everywhere. */
-    void acquit(const std::string& job, const Job& known, Millis now);
-    void forgetJobs(Millis now);
+    /** Returns `factor` times the mean run time, but at least `minTime`. */
+    Millis scale(Millis minTime, double factor) const;
+    /** Returns the failure score, decayed to `now`. */
+    double getFailureScore(const Host& host, Millis now) const;
+    void recordSuccess(Host& host, Millis startedAt, Millis now);
+    void recordFailure(const RunEvidence& evidence, Millis now);
+    /** Returns whether the job also failed on another host that is not suspect because of other
+     * jobs. */
+    bool failedOnHealthyHost(const RunEvidence& evidence, const Job& job, Millis now) const;
+    /** Removes the share of a job from the failure scores of all hosts. */
+    void clearJobScores(const std::string& id, const Job& failures, Millis now);
+    void removeOldJobs(Millis now);
 
     const WorkerHealthSettings m_settings;
     std::map<std::string, Host> m_hosts;
     std::map<std::string, Job> m_jobs;
-    /** Moving mean of the time of runs that ended well, of all hosts. */
-    Millis m_typicalRun{0};
+    /** Moving average of the run time of successful runs on all hosts. */
+    Millis m_meanRunTime{0};
 };
 
 }  // namespace pierbank
--- a/libs/control/src/CapacityRefusals.cpp
+++ b/libs/control/src/CapacityRefusals.cpp
@@ -7,21 +7,21 @@
 
 namespace {
 
-// Chosen by reasoning; on the days looked through no start was refused for want of room.
-/** An end that overtook its report is told within this time. */
-constexpr Millis SHORTEST{100};
-/** Workers tell what they have at least so often. */
-constexpr Millis LONGEST{2000};
+/** Minimum length of a pause. If capacity seemed free only because the end of a run was known
+ * before the worker's report of it, that report arrives within this time. */
+constexpr Millis MIN_PAUSE{100};
+/** Maximum length of a pause. Workers report their capacity at least this often. */
+constexpr Millis MAX_PAUSE{2000};
 
 }  // namespace
 
 void CapacityRefusals::recordRefusal(const std::string& host, Millis now) {
     Pause& pause = m_pauses[host];
     if (now < pause.m_until) {
-        // One of several starts that were under way together.
+        // The refusal answers one of several starts that were sent before the pause began.
         return;
     }
-    pause.m_length = std::clamp(2 * pause.m_length, SHORTEST, LONGEST);
+    pause.m_length = std::clamp(2 * pause.m_length, MIN_PAUSE, MAX_PAUSE);
     pause.m_until = now + pause.m_length;
 }
 
--- a/libs/control/src/HostSpeeds.cpp
+++ b/libs/control/src/HostSpeeds.cpp
@@ -10,21 +10,22 @@
     if (sample.m_rate <= 0) {
         return;
     }
-    forgetOld(now);
+    removeExpired(now);
     Mean& step = m_steps[sample.m_step];
-    const double value = std::log(sample.m_rate);
-    const double known = getLogSpeed(sample.m_host);
-    if (step.m_count >= LEAST_FELLOWS) {
-        const double left = value - step.m_sum / step.m_count;
+    const double logRate = std::log(sample.m_rate);
+    const double hostLogSpeed = getLogSpeed(sample.m_host);
+    if (step.m_count >= MIN_STEP_RUNS) {
+        const double deviation = logRate - step.m_sum / step.m_count;
         const auto found = m_hosts.find(sample.m_host);
         Mean& host = found == m_hosts.end() ? m_hosts[std::string(sample.m_host)] : found->second;
-        host.m_sum = host.m_sum * MEMORY + std::clamp(left, -MOST_LOG, MOST_LOG);
-        host.m_count = host.m_count * MEMORY + 1;
-        host.m_at = now;
+        host.m_sum = host.m_sum * SAMPLE_DECAY +
+                     std::clamp(deviation, -MAX_LOG_DEVIATION, MAX_LOG_DEVIATION);
+        host.m_count = host.m_count * SAMPLE_DECAY + 1;
+        host.m_updatedAt = now;
     }
-    step.m_sum += value - known;
+    step.m_sum += logRate - hostLogSpeed;
     step.m_count += 1;
-    step.m_at = now;
+    step.m_updatedAt = now;
 }
 
 double HostSpeeds::getLogSpeed(std::string_view host) const {
@@ -47,15 +48,17 @@
     m_steps.clear();
 }
 
-void HostSpeeds::forgetOld(Millis now) {
-    if (now - m_sweptAt < STEP_MEMORY) {
+void HostSpeeds::removeExpired(Millis now) {
+    if (now - m_lastCleanupAt < STEP_RETENTION) {
         return;
     }
-    m_sweptAt = now;
-    std::erase_if(m_steps,
-                  [&](const auto& entry) { return now - entry.second.m_at > STEP_MEMORY; });
-    std::erase_if(m_hosts,
-                  [&](const auto& entry) { return now - entry.second.m_at > HOST_MEMORY; });
+    m_lastCleanupAt = now;
+    std::erase_if(m_steps, [&](const auto& entry) {
+        return now - entry.second.m_updatedAt > STEP_RETENTION;
+    });
+    std::erase_if(m_hosts, [&](const auto& entry) {
+        return now - entry.second.m_updatedAt > HOST_RETENTION;
+    });
 }
 
 }  // namespace pierbank
--- a/libs/control/src/PersistedEnds.cpp
+++ b/libs/control/src/PersistedEnds.cpp
@@ -4,19 +4,19 @@
 namespace pierbank {
 
 bool PersistedEnds::recordReported(const WorkerId& worker, std::uint64_t number) {
-    Life& incarnation = m_incarnations[worker];
-    if (number <= incarnation.m_highest) {
+    IncarnationEnds& incarnation = m_incarnations[worker];
+    if (number <= incarnation.m_highestReported) {
         return false;
     }
-    incarnation.m_highest = number;
-    incarnation.m_open.insert(number);
+    incarnation.m_highestReported = number;
+    incarnation.m_pending.insert(number);
     return true;
 }
 
 void PersistedEnds::markPersisted(const WorkerId& worker, std::uint64_t number) {
     const auto found = m_incarnations.find(worker);
     if (found != m_incarnations.end()) {
-        found->second.m_open.erase(number);
+        found->second.m_pending.erase(number);
     }
 }
 
@@ -25,8 +25,9 @@
     if (found == m_incarnations.end()) {
         return 0;
     }
-    const Life& incarnation = found->second;
-    return incarnation.m_open.empty() ? incarnation.m_highest : *incarnation.m_open.begin() - 1;
+    const IncarnationEnds& incarnation = found->second;
+    return incarnation.m_pending.empty() ? incarnation.m_highestReported
+                                         : *incarnation.m_pending.begin() - 1;
 }
 
 }  // namespace pierbank
--- a/libs/control/src/ProgressTracker.cpp
+++ b/libs/control/src/ProgressTracker.cpp
@@ -8,52 +8,54 @@
 
 namespace {
 
-constexpr std::uint32_t WHOLE = 100;
+/** Percent reported by a run that is complete. */
+constexpr std::uint32_t COMPLETE_PERCENT = 100;
 constexpr double MILLIS_PER_SECOND = 1000.0;
 
 }  // namespace
 
-Millis ProgressTracker::Track::getPatience() const {
+Millis ProgressTracker::Track::getStallTimeout() const {
     if (m_percent > m_firstPercent) {
-        const Millis percentTook = (m_changedAt - m_firstAt) / (m_percent - m_firstPercent);
-        return std::max(LEAST_STALL, percentTook * STALLED_PERCENTS);
+        const Millis timePerPercent = (m_changedAt - m_firstAt) / (m_percent - m_firstPercent);
+        return std::max(MIN_STALL_TIMEOUT, timePerPercent * STALL_PERCENT_FACTOR);
     }
     if (m_estimate <= Millis(0)) {
-        return UNDECLARED_STALL;
+        return DEFAULT_STALL_TIMEOUT;
     }
-    const auto share = static_cast<double>(m_estimate.count()) * STALLED_SHARE;
-    return std::max(LEAST_STALL, Millis(static_cast<std::int64_t>(share)));
+    const auto estimateShare = static_cast<double>(m_estimate.count()) * STALL_ESTIMATE_SHARE;
+    return std::max(MIN_STALL_TIMEOUT, Millis(static_cast<std::int64_t>(estimateShare)));
 }
 
-/** A gang's member at the end waits for the others. */
+/** A complete run is not stalled: the member of a gang waits at its end for the other members. */
 bool ProgressTracker::Track::isStalled() const {
-    return m_percent < WHOLE && !m_mayWait && getStalledTime() >= getPatience();
+    return m_percent < COMPLETE_PERCENT && !m_mayWait && getStalledTime() >= getStallTimeout();
 }
 
 std::optional<double> ProgressTracker::Track::getRate() const {
     const Millis span = m_changedAt - m_firstAt;
-    if (span < LEAST_SPAN || m_percent <= m_firstPercent) {
+    if (span < MIN_RATE_SPAN || m_percent <= m_firstPercent) {
         return std::nullopt;
     }
     return MILLIS_PER_SECOND * (m_percent - m_firstPercent) / static_cast<double>(span.count());
 }
 
-std::optional<double> ProgressTracker::Track::takeRate(Millis now) {
-    if (m_percent == 0 || m_hasTold || m_mayWait) {
+std::optional<double> ProgressTracker::Track::sampleRate(Millis now) {
+    if (m_percent == 0 || m_isSampled || m_mayWait) {
         return std::nullopt;
     }
-    if (m_begunPercent == 0) {
-        m_begunPercent = m_percent;
-        m_begunAt = now;
+    if (m_startPercent == 0) {
+        m_startPercent = m_percent;
+        m_startAt = now;
         return std::nullopt;
     }
-    if (m_percent >= WHOLE || m_percent < m_begunPercent + TELLING_ADVANCE || now <= m_begunAt) {
-        // At the end it may have waited for others.
+    if (m_percent >= COMPLETE_PERCENT || m_percent < m_startPercent + MIN_SAMPLE_ADVANCE ||
+        now <= m_startAt) {
+        // A complete run may have waited for other members of its gang, so its rate is unknown.
         return std::nullopt;
     }
-    m_hasTold = true;
-    return MILLIS_PER_SECOND * (m_percent - m_begunPercent) /
-           static_cast<double>((now - m_begunAt).count());
+    m_isSampled = true;
+    return MILLIS_PER_SECOND * (m_percent - m_startPercent) /
+           static_cast<double>((now - m_startAt).count());
 }
 
 std::vector<ProgressRate> ProgressTracker::recordReport(const std::string& host,
@@ -70,13 +72,14 @@
         if (found == known.end()) {
             next.push_back({run.m_task, run.m_run, run.m_mayWait, run.m_percent, now, run.m_percent,
                             now, now, run.m_estimate});
-            next.back().takeRate(now);
+            next.back().sampleRate(now);
             continue;
         }
         Track track = std::move(*found);
-        track.m_seenAt = now;
+        track.m_reportedAt = now;
         if (std::exchange(track.m_mayWait, run.m_mayWait) && !run.m_mayWait) {
-            // Its gang begins now.
+            // The run has no reason to wait any more, e.g. since its gang is complete; progress
+            // counts from here.
             track.m_firstAt = now;
             track.m_changedAt = now;
         }
@@ -84,7 +87,7 @@
             track.m_percent = run.m_percent;
             track.m_changedAt = now;
         }
-        if (const auto rate = track.takeRate(now)) {
+        if (const auto rate = track.sampleRate(now)) {
             rates.push_back({track.m_task, *rate});
         }
         next.push_back(std::move(track));
@@ -136,8 +139,8 @@
     for (const Track& track : host) {
         if (track.isStalled()) {
             ++stalled;
-        } else if (track.m_changedAt > track.m_firstAt && track.m_percent < WHOLE &&
-                   track.getStalledTime() < track.getPatience()) {
+        } else if (track.m_changedAt > track.m_firstAt && track.m_percent < COMPLETE_PERCENT &&
+                   track.getStalledTime() < track.getStallTimeout()) {
             return false;
         }
     }
@@ -146,8 +149,8 @@
 
 Millis ProgressTracker::getStalledTime(std::string_view host, const TaskRef& task) const {
     const Track* const track = find(host, task);
-    const bool isStill = track != nullptr && track->m_percent < WHOLE;
-    return isStill ? track->getStalledTime() : Millis(0);
+    const bool isIncomplete = track != nullptr && track->m_percent < COMPLETE_PERCENT;
+    return isIncomplete ? track->getStalledTime() : Millis(0);
 }
 
 std::optional<Millis> ProgressTracker::getRemaining(std::string_view host, const TaskRef& task,
@@ -157,8 +160,8 @@
     if (!rate.has_value() || track->isStalled()) {
         return std::nullopt;
     }
-    const double left = MILLIS_PER_SECOND * (WHOLE - track->m_percent) / *rate;
-    const Millis end = track->m_changedAt + Millis(static_cast<std::int64_t>(left));
+    const double remaining = MILLIS_PER_SECOND * (COMPLETE_PERCENT - track->m_percent) / *rate;
+    const Millis end = track->m_changedAt + Millis(static_cast<std::int64_t>(remaining));
     return std::max(end - now, Millis(0));
 }
 
--- a/libs/control/src/UrgentDemand.cpp
+++ b/libs/control/src/UrgentDemand.cpp
@@ -15,20 +15,20 @@
     if (record.m_policy.m_priority != 0) {
         return;
     }
-    double widest = 0;
+    double maxAccelerators = 0;
     double work = 0;
     for (const StepSpec& step : record.m_spec.m_steps) {
         const double accelerators = step.m_tasks * step.m_need.m_accelerators;
-        widest = std::max(widest, accelerators);
+        maxAccelerators = std::max(maxAccelerators, accelerators);
         work += accelerators * static_cast<double>(step.m_estimate.count());
     }
     Arrivals& arrivals = m_services[record.m_policy.m_service];
-    const double decay = getDecay(record.m_acceptedAt - arrivals.m_at);
-    const double late = getDecay(arrivals.m_at - record.m_acceptedAt);
-    arrivals.m_count = arrivals.m_count * decay + late;
-    arrivals.m_accelerators = arrivals.m_accelerators * decay + widest * late;
-    arrivals.m_work = arrivals.m_work * decay + work * late;
-    arrivals.m_at = std::max(arrivals.m_at, record.m_acceptedAt);
+    const double decay = getDecay(record.m_acceptedAt - arrivals.m_updatedAt);
+    const double lateDecay = getDecay(arrivals.m_updatedAt - record.m_acceptedAt);
+    arrivals.m_count = arrivals.m_count * decay + lateDecay;
+    arrivals.m_accelerators = arrivals.m_accelerators * decay + maxAccelerators * lateDecay;
+    arrivals.m_work = arrivals.m_work * decay + work * lateDecay;
+    arrivals.m_updatedAt = std::max(arrivals.m_updatedAt, record.m_acceptedAt);
 }
 
 std::vector<std::string> UrgentDemand::listServices() const {
@@ -39,22 +39,22 @@
     return services;
 }
 
-/** What runs at a time on the mean, and one job more. */
+/** Returns the mean number of accelerators in use, plus those of one more job. */
 std::uint32_t UrgentDemand::getHeadroom(const std::string& service, Millis wallNow) const {
     const auto found = m_services.find(service);
     if (found == m_services.end()) {
         return 0;
     }
     const Arrivals& arrivals = found->second;
-    const double decay = getDecay(wallNow - arrivals.m_at);
-    if (arrivals.m_count * decay < m_settings.m_leastArrivals) {
+    const double decay = getDecay(wallNow - arrivals.m_updatedAt);
+    if (arrivals.m_count * decay < m_settings.m_minArrivals) {
         return 0;
     }
-    // The decayed sum of a steady stream is its rate times the half-life over ln 2.
-    const double span = static_cast<double>(m_settings.m_halfLife.count()) / std::log(2.0);
-    const double running = arrivals.m_work * decay / span;
-    const double next = arrivals.m_accelerators / arrivals.m_count;
-    return static_cast<std::uint32_t>(std::lround(running + next));
+    // For a steady stream of arrivals, the decayed sum is the rate times half-life / ln 2.
+    const double timeConstant = static_cast<double>(m_settings.m_halfLife.count()) / std::log(2.0);
+    const double running = arrivals.m_work * decay / timeConstant;
+    const double acceleratorsPerJob = arrivals.m_accelerators / arrivals.m_count;
+    return static_cast<std::uint32_t>(std::lround(running + acceleratorsPerJob));
 }
 
 }  // namespace pierbank
--- a/libs/control/test/HostSpeedsTest.cpp
+++ b/libs/control/test/HostSpeedsTest.cpp
@@ -10,7 +10,7 @@
 namespace pierbank {
 namespace {
 
-/** Hosts of three speeds, on which steps of eight runs of like work run. */
+/** Simulates steps of eight runs of similar work on hosts of three speeds. */
 class HostSpeedsTest : public ::testing::Test {
 protected:
     static constexpr int HOSTS = 24;
@@ -22,15 +22,15 @@
         return SPEEDS.at(static_cast<std::size_t>(host % 3));
     }
 
-    /** Runs of a step differ by 15 %, steps by a factor of five. */
-    void playSteps(int steps) {
-        std::normal_distribution<double> uneven(0.0, 0.15);
+    /** Records samples; runs of a step differ by 15 %, steps by a factor of up to five. */
+    void recordSteps(int steps) {
+        std::normal_distribution<double> noise(0.0, 0.15);
         std::uniform_int_distribution<int> pick(0, HOSTS - 1);
         for (int i = 0; i < steps; ++i) {
             const double work = 10.0 * (1 + i % 5);
             for (int run = 0; run < 8; ++run) {
                 const int host = pick(m_engine);
-                const double rate = work * getSpeed(host) * std::exp(uneven(m_engine));
+                const double rate = work * getSpeed(host) * std::exp(noise(m_engine));
                 m_speeds.recordSample({getHost(host), "job.0." + std::to_string(m_steps), rate},
                                       m_now);
             }
@@ -45,14 +45,14 @@
     int m_steps = 0;
 };
 
-TEST_F(HostSpeedsTest, AHostThatNothingIsKnownOfIsAMeanOne) {
+TEST_F(HostSpeedsTest, UnknownHostIsAverage) {
     EXPECT_EQ(m_speeds.getSlowness("h0"), 1.0);
     m_speeds.recordSample({"h0", "job.0.0", 5.0}, m_now);
-    EXPECT_EQ(m_speeds.getSlowness("h0"), 1.0) << "a run alone tells nothing";
+    EXPECT_EQ(m_speeds.getSlowness("h0"), 1.0) << "a single run has nothing to be compared with";
 }
 
-TEST_F(HostSpeedsTest, AfterSixRunsAHostFastAndSlowOnesAreToldApart) {
-    playSteps(6 * HOSTS / 8);
+TEST_F(HostSpeedsTest, DistinguishesFastAndSlowHostsAfterSixRunsPerHost) {
+    recordSteps(6 * HOSTS / 8);
     double fast = 0;
     double slow = 0;
     for (int host = 0; host < HOSTS; ++host) {
@@ -63,8 +63,8 @@
     EXPECT_GT(slow / (HOSTS / 3), 1.1);
 }
 
-TEST_F(HostSpeedsTest, AHostThatTurnsSlowIsSeen) {
-    playSteps(30);
+TEST_F(HostSpeedsTest, DetectsHostThatBecomesSlow) {
+    recordSteps(30);
     for (int i = 0; i < 20; ++i) {
         const std::string step = "late.0." + std::to_string(i);
         for (const char* host : {"h1", "h4", "h7"}) {
@@ -75,8 +75,8 @@
     EXPECT_GT(m_speeds.getSlowness("h2"), 1.4);
 }
 
-TEST_F(HostSpeedsTest, AHostOfWhichNothingIsHeardForAnHourIsForgotten) {
-    playSteps(30);
+TEST_F(HostSpeedsTest, RemovesHostAfterAnHourWithoutSamples) {
+    recordSteps(30);
     ASSERT_NE(m_speeds.getSlowness("h2"), 1.0);
     m_now += Millis(3'700'000);
     m_speeds.recordSample({"h1", "later.0.0", 5.0}, m_now);
--- a/libs/control/test/PlanThrottleTest.cpp
+++ b/libs/control/test/PlanThrottleTest.cpp
@@ -6,25 +6,25 @@
 namespace pierbank {
 namespace {
 
-TEST(PlanThrottleTest, APlanThatTakesNoTimeDelaysNoOther) {
-    PlanThrottle pace;
-    pace.recordPlan(Millis(1000), Millis(1000));
-    EXPECT_EQ(pace.getNextAt(), Millis(1000));
+TEST(PlanThrottleTest, InstantPlanCausesNoDelay) {
+    PlanThrottle throttle;
+    throttle.recordPlan(Millis(1000), Millis(1000));
+    EXPECT_EQ(throttle.getNextAt(), Millis(1000));
 }
 
-/** 800 workers that link by and by, each of them a reason to plan, on a host that plans in 15 ms.
- */
-TEST(PlanThrottleTest, PlansOfASlowHostLeaveMostOfItsTimeToOtherWork) {
-    constexpr Millis TOOK{15};
-    PlanThrottle pace;
+/** Simulates a slow host, on which a plan takes 15 ms, while worker connections request a new plan
+ * all the time. */
+TEST(PlanThrottleTest, SlowPlansLeaveMostTimeToOtherWork) {
+    constexpr Millis PLAN_DURATION{15};
+    PlanThrottle throttle;
     Millis now(1000);
     Millis planning(0);
     const Millis end = now + Millis(4000);
     while (now < end) {
-        if (now >= pace.getNextAt()) {
-            pace.recordPlan(now, now + TOOK);
-            planning += TOOK;
-            now += TOOK;
+        if (now >= throttle.getNextAt()) {
+            throttle.recordPlan(now, now + PLAN_DURATION);
+            planning += PLAN_DURATION;
+            now += PLAN_DURATION;
         } else {
             now += Millis(5);
         }
--- a/libs/control/test/ProgressTrackerTest.cpp
+++ b/libs/control/test/ProgressTrackerTest.cpp
@@ -8,10 +8,10 @@
 
 const TaskKey TASK{"00000000000000a1", 0, 0, 0};
 const TaskKey OTHER{"00000000000000a1", 0, 0, 1};
-/** Declared time: a run that did not advance for 1.4 s stands still. */
+/** Declared run time; a run without progress for 1.4 s is stalled. */
 constexpr Millis DECLARED{9400};
 
-TEST(ProgressTrackerTest, ARunThatAdvancesTellsWhenItEnds) {
+TEST(ProgressTrackerTest, EstimatesRemainingTimeFromProgress) {
     ProgressTracker tracker;
     tracker.recordReport("h", {{TASK, 1, 10, false, DECLARED}}, Millis(1000));
     EXPECT_FALSE(tracker.getRemaining("h", TASK, Millis(1000)).has_value());
@@ -20,7 +20,7 @@
     EXPECT_FALSE(tracker.isStalled("h"));
 }
 
-TEST(ProgressTrackerTest, AHostOnWhichNothingAdvancesIsStalled) {
+TEST(ProgressTrackerTest, HostWithoutProgressIsStalled) {
     ProgressTracker tracker;
     tracker.recordReport("h", {{TASK, 1, 50, false, DECLARED}}, Millis(1000));
     tracker.recordReport("h", {{TASK, 1, 50, false, DECLARED}}, Millis(2300));
@@ -30,47 +30,48 @@
     EXPECT_EQ(tracker.getStalledTime("h", TASK), Millis(1500));
 }
 
-TEST(ProgressTrackerTest, HowLongARunMayStandDependsOnItsDeclaredTime) {
+TEST(ProgressTrackerTest, StallTimeoutDependsOnDeclaredTime) {
     struct Case {
         Millis m_estimate;
-        Millis m_mayStand;
+        Millis m_maxIdleTime;
     };
-    for (const auto& [estimate, mayStand] :
+    for (const auto& [estimate, maxIdleTime] :
          {Case{Millis(100), Millis(949)}, Case{Millis(10'000), Millis(1499)},
           Case{Millis(3'600'000), Millis(539'999)}, Case{Millis(0), Millis(7999)}}) {
         ProgressTracker tracker;
         tracker.recordReport("h", {{TASK, 1, 0, false, estimate}}, Millis(1000));
-        tracker.recordReport("h", {{TASK, 1, 0, false, estimate}}, Millis(1000) + mayStand);
+        tracker.recordReport("h", {{TASK, 1, 0, false, estimate}}, Millis(1000) + maxIdleTime);
         EXPECT_FALSE(tracker.isStalled("h")) << estimate.count();
-        tracker.recordReport("h", {{TASK, 1, 0, false, estimate}}, Millis(1001) + mayStand);
+        tracker.recordReport("h", {{TASK, 1, 0, false, estimate}}, Millis(1001) + maxIdleTime);
         EXPECT_TRUE(tracker.isStalled("h")) << estimate.count();
     }
 }
 
-TEST(ProgressTrackerTest, ARunThatTakesLongerThanDeclaredIsJudgedByWhatItWasSeenToDo) {
+TEST(ProgressTrackerTest, StallTimeoutOfSlowRunFollowsItsProgress) {
     ProgressTracker tracker;
     tracker.recordReport("h", {{TASK, 1, 0, false, Millis(1000)}}, Millis(0));
     tracker.recordReport("h", {{TASK, 1, 2, false, Millis(1000)}}, Millis(6000));
     tracker.recordReport("h", {{TASK, 1, 2, false, Millis(1000)}}, Millis(29'900));
-    EXPECT_FALSE(tracker.isStalled("h")) << "a percent takes three seconds";
+    EXPECT_FALSE(tracker.isStalled("h")) << "one percent takes three seconds";
     tracker.recordReport("h", {{TASK, 1, 2, false, Millis(1000)}}, Millis(30'000));
     EXPECT_TRUE(tracker.isStalled("h"));
 }
 
-TEST(ProgressTrackerTest, ALongRunThatAdvancedWellStandsStillAfterTwoReports) {
+TEST(ProgressTrackerTest, FastRunIsStalledAfterTwoReportsWithoutProgress) {
     ProgressTracker tracker;
     tracker.recordReport("h", {{TASK, 1, 0, false, Millis(9000)}}, Millis(0));
     tracker.recordReport("h", {{TASK, 1, 11, false, Millis(9000)}}, Millis(1000));
     tracker.recordReport("h", {{TASK, 1, 11, false, Millis(9000)}}, Millis(2000));
     EXPECT_TRUE(tracker.isStalled("h"));
-    EXPECT_FALSE(tracker.hasAdvancedSince("h", Millis(500))) << "it is older";
+    EXPECT_FALSE(tracker.hasAdvancedSince("h", Millis(500)))
+            << "the run was first reported earlier";
     tracker.recordReport("h", {{OTHER, 1, 0, false, Millis(9000)}}, Millis(3000));
     EXPECT_FALSE(tracker.hasAdvancedSince("h", Millis(2000)));
     tracker.recordReport("h", {{OTHER, 1, 1, false, Millis(9000)}}, Millis(4000));
     EXPECT_TRUE(tracker.hasAdvancedSince("h", Millis(2000)));
 }
 
-TEST(ProgressTrackerTest, AHostOnWhichAnotherRunAdvancesIsNot) {
+TEST(ProgressTrackerTest, HostWithProgressOfAnotherRunIsNotStalled) {
     ProgressTracker tracker;
     for (int i = 0; i < 4; ++i) {
         tracker.recordReport("h",
@@ -80,7 +81,7 @@
     EXPECT_FALSE(tracker.isStalled("h"));
 }
 
-TEST(ProgressTrackerTest, AGangThatWaitsForItsMembersIsNotStalled) {
+TEST(ProgressTrackerTest, GangThatWaitsForMembersIsNotStalled) {
     ProgressTracker tracker;
     tracker.recordReport("h", {{TASK, 1, 0, true, DECLARED}, {OTHER, 1, 100, false, DECLARED}},
                          Millis(1000));
@@ -89,7 +90,7 @@
     EXPECT_FALSE(tracker.isStalled("h"));
 }
 
-TEST(ProgressTrackerTest, AGangWhoseMembersAreAllThereIsStalledWhenNoneBegins) {
+TEST(ProgressTrackerTest, CompleteGangWithoutProgressIsStalled) {
     ProgressTracker tracker;
     tracker.recordReport("h", {{TASK, 1, 0, true, DECLARED}}, Millis(1000));
     tracker.recordReport("h", {{TASK, 1, 0, false, DECLARED}}, Millis(3000));
@@ -99,7 +100,7 @@
     EXPECT_EQ(tracker.getStalledTime("h", TASK), Millis(1500));
 }
 
-TEST(ProgressTrackerTest, ANewRunBeginsAnew) {
+TEST(ProgressTrackerTest, NewRunOfTaskStartsWithoutHistory) {
     ProgressTracker tracker;
     tracker.recordReport("h", {{TASK, 1, 50, false, DECLARED}}, Millis(1000));
     tracker.recordReport("h", {{TASK, 2, 50, false, DECLARED}}, Millis(4000));
@@ -107,18 +108,18 @@
     EXPECT_FALSE(tracker.getRate("h", TASK).has_value());
 }
 
-TEST(ProgressTrackerTest, ARunTellsOnceHowFastItAdvances) {
+TEST(ProgressTrackerTest, RateOfRunIsReturnedOnce) {
     ProgressTracker tracker;
     EXPECT_TRUE(tracker.recordReport("h", {{TASK, 1, 0, false, DECLARED}}, Millis(1000)).empty());
     EXPECT_TRUE(tracker.recordReport("h", {{TASK, 1, 10, false, DECLARED}}, Millis(2000)).empty());
     EXPECT_TRUE(tracker.recordReport("h", {{TASK, 1, 25, false, DECLARED}}, Millis(3000)).empty());
     const auto rates = tracker.recordReport("h", {{TASK, 1, 40, false, DECLARED}}, Millis(4000));
     ASSERT_EQ(rates.size(), 1U);
-    EXPECT_DOUBLE_EQ(rates[0].m_rate, 15.0) << "from when it had begun";
+    EXPECT_DOUBLE_EQ(rates[0].m_rate, 15.0) << "from the first report of progress";
     EXPECT_TRUE(tracker.recordReport("h", {{TASK, 1, 70, false, DECLARED}}, Millis(6000)).empty());
 }
 
-TEST(ProgressTrackerTest, AtItsEndARunTellsNothingSinceItMayHaveWaited) {
+TEST(ProgressTrackerTest, CompleteRunYieldsNoRate) {
     ProgressTracker tracker;
     tracker.recordReport("h", {{TASK, 1, 60, false, DECLARED}}, Millis(1000));
     EXPECT_TRUE(tracker.recordReport("h", {{TASK, 1, 100, false, DECLARED}}, Millis(9000)).empty());
--- a/libs/control/test/UrgentDemandTest.cpp
+++ b/libs/control/test/UrgentDemandTest.cpp
@@ -24,30 +24,30 @@
     UrgentDemand m_demand{UrgentDemandSettings()};
 };
 
-TEST_F(UrgentDemandTest, IsNothingBeforeAnythingUrgentArrives) {
+TEST_F(UrgentDemandTest, HeadroomIsZeroWithoutUrgentJobs) {
     arrive(Millis(1000), 10, 1);
     EXPECT_EQ(m_demand.getHeadroom("s", Millis(1000)), 0U);
 }
 
-TEST_F(UrgentDemandTest, OfASteadyStreamIsWhatRunsAtATimeAndOneJobMore) {
+TEST_F(UrgentDemandTest, HeadroomOfSteadyStreamIsRunningJobsAndOneMore) {
     Millis now(0);
     for (int i = 0; i < 200; ++i) {
         now += Millis(500);
         arrive(now);
     }
-    // Two jobs a second of 10 accelerators for 2 s: 40 run at a time.
+    // Two jobs per second, each with 10 accelerators for 2 s, use 40 accelerators at a time.
     EXPECT_NEAR(m_demand.getHeadroom("s", now), 50, 2);
     EXPECT_EQ(m_demand.getHeadroom("another", now), 0U);
 }
 
-TEST_F(UrgentDemandTest, FadesWhenNothingUrgentArrivesAnyMore) {
+TEST_F(UrgentDemandTest, HeadroomDecaysWithoutArrivals) {
     arrive(Millis(1000));
     arrive(Millis(2000));
     EXPECT_GT(m_demand.getHeadroom("s", Millis(2000)), 9U);
     EXPECT_EQ(m_demand.getHeadroom("s", Millis(22'000)), 0U);
 }
 
-TEST_F(UrgentDemandTest, CountsJobsThatAreHeardOfLateAsOld) {
+TEST_F(UrgentDemandTest, LateReportedJobsCountAsOld) {
     arrive(Millis(100'000));
     arrive(Millis(1000), 8000);
     EXPECT_LT(m_demand.getHeadroom("s", Millis(100'000)), 30U);
--- a/libs/control/test/WorkerHealthTest.cpp
+++ b/libs/control/test/WorkerHealthTest.cpp
@@ -22,108 +22,108 @@
     Millis m_now{100'000};
 };
 
-class AHostOnWhichRunsStoodStill : public WorkerHealthTest {
+class StalledHostTest : public WorkerHealthTest {
 protected:
     void SetUp() override { m_health.recordStalled("h", m_now); }
 };
 
-TEST_F(AHostOnWhichRunsStoodStill, IsSuspect) {
+TEST_F(StalledHostTest, IsSuspect) {
     EXPECT_TRUE(isSuspect("h"));
     EXPECT_FALSE(isSuspect("another"));
     EXPECT_EQ(m_health.getStalledAt("h"), m_now);
 }
 
-TEST_F(AHostOnWhichRunsStoodStill, IsNotAvoidedForManyRunsThatStoodForOneCause) {
+TEST_F(StalledHostTest, IsNotAvoidedForSeveralStalledRuns) {
     m_now += Millis(10);
     m_health.recordStalled("h", m_now);
     m_health.recordStalled("h", m_now);
     EXPECT_FALSE(isAvoided("h"));
 }
 
-TEST_F(AHostOnWhichRunsStoodStill, IsSuspectAgainWhenRunsStandStillMuchLater) {
+TEST_F(StalledHostTest, IsSuspectAgainAfterLaterStall) {
     m_now += 4 * m_settings.m_halfLife;
     EXPECT_FALSE(isSuspect("h"));
     m_health.recordStalled("h", m_now);
     EXPECT_TRUE(isSuspect("h"));
 }
 
-TEST_F(AHostOnWhichRunsStoodStill, IsAvoidedWhenAJobFailsThereToo) {
+TEST_F(StalledHostTest, IsAvoidedAfterAdditionalFailure) {
     fail("h", "job-1");
     EXPECT_TRUE(isAvoided("h"));
 }
 
-TEST_F(AHostOnWhichRunsStoodStill, IsNoLongerSuspectOnceARunAdvancesThere) {
+TEST_F(StalledHostTest, IsNoLongerSuspectAfterProgress) {
     m_now += Millis(2000);
     m_health.recordAdvanced("h", m_now);
     EXPECT_FALSE(isSuspect("h"));
     EXPECT_FALSE(m_health.getStalledAt("h").has_value());
 }
 
-TEST_F(AHostOnWhichRunsStoodStill, IsStillBlamedForFailuresWhenARunAdvancesThere) {
+TEST_F(StalledHostTest, StaysSuspectForFailuresAfterProgress) {
     fail("h", "job-1");
     m_health.recordAdvanced("h", m_now);
     EXPECT_TRUE(isSuspect("h"));
 }
 
-class AHostThatFailedOnce : public WorkerHealthTest {
+class HostWithOneFailureTest : public WorkerHealthTest {
 protected:
     void SetUp() override { fail("h", "job-1"); }
 };
 
-TEST_F(AHostThatFailedOnce, QuicklyIsSuspectButNotAvoided) {
+TEST_F(HostWithOneFailureTest, IsSuspectButNotAvoided) {
     EXPECT_TRUE(isSuspect("h"));
     EXPECT_FALSE(isAvoided("h"));
     EXPECT_FALSE(isSuspect("another"));
 }
 
-TEST_F(AHostThatFailedOnce, IsNotBlamedTwiceForOneJob) {
+TEST_F(HostWithOneFailureTest, FailuresOfOneJobCountOnce) {
     fail("h", "job-1");
     fail("h", "job-1");
     EXPECT_FALSE(isAvoided("h"));
 }
 
-TEST_F(AHostThatFailedOnce, IsNoLongerSuspectAfterALongTime) {
+TEST_F(HostWithOneFailureTest, IsNoLongerSuspectAfterHalfLife) {
     m_now += m_settings.m_halfLife;
     EXPECT_FALSE(isSuspect("h"));
 }
 
-TEST_F(AHostThatFailedOnce, IsNoLongerSuspectAfterARunThatBeganSinceAndEndedWell) {
+TEST_F(HostWithOneFailureTest, IsNoLongerSuspectAfterLaterRunSucceeded) {
     m_now += Millis(2000);
     finish("h", Millis(1900));
     EXPECT_FALSE(isSuspect("h"));
 }
 
-TEST_F(AHostThatFailedOnce, StaysSuspectAfterARunThatHadBegunBefore) {
+TEST_F(HostWithOneFailureTest, StaysSuspectAfterEarlierRunSucceeded) {
     m_now += Millis(2000);
     finish("h", Millis(2100));
     EXPECT_TRUE(isSuspect("h"));
 }
 
-class AHostThatFailedTwoJobs : public AHostThatFailedOnce {
+class HostWithTwoFailuresTest : public HostWithOneFailureTest {
 protected:
     void SetUp() override {
-        AHostThatFailedOnce::SetUp();
+        HostWithOneFailureTest::SetUp();
         fail("h", "job-2");
     }
 };
 
-TEST_F(AHostThatFailedTwoJobs, IsAvoidedAndThenSuspect) {
+TEST_F(HostWithTwoFailuresTest, IsAvoidedThenSuspect) {
     EXPECT_TRUE(isAvoided("h"));
-    m_now += m_settings.m_pause;
+    m_now += m_settings.m_minAvoidTime;
     EXPECT_FALSE(isAvoided("h"));
     EXPECT_TRUE(isSuspect("h"));
 }
 
-TEST_F(AHostThatFailedTwoJobs, IsAvoidedForLongerWhenItFailsAgain) {
-    m_now += m_settings.m_pause;
+TEST_F(HostWithTwoFailuresTest, IsAvoidedLongerAfterAnotherFailure) {
+    m_now += m_settings.m_minAvoidTime;
     fail("h", "job-3");
-    m_now += m_settings.m_pause;
+    m_now += m_settings.m_minAvoidTime;
     EXPECT_TRUE(isAvoided("h"));
-    m_now += m_settings.m_pause;
+    m_now += m_settings.m_minAvoidTime;
     EXPECT_FALSE(isAvoided("h"));
 }
 
-TEST_F(WorkerHealthTest, WhereRunsTakeHoursBlameLastsForHours) {
+TEST_F(WorkerHealthTest, TimesGrowWithRunTimes) {
     const Millis hour(3'600'000);
     for (int i = 0; i < 3; ++i) {
         finish("another", 2 * hour);
@@ -139,7 +139,7 @@
     EXPECT_TRUE(isSuspect("h"));
 }
 
-TEST_F(WorkerHealthTest, OneSlowFailureSaysLittle) {
+TEST_F(WorkerHealthTest, SlowFailureCountsLess) {
     fail("h", "job-1", Millis(3000));
     EXPECT_FALSE(isSuspect("h"));
     fail("h", "job-2", Millis(3000));
@@ -147,7 +147,7 @@
     EXPECT_FALSE(isAvoided("h"));
 }
 
-TEST_F(WorkerHealthTest, AJobThatFailsOnSeveralHostsIsItselfToBlame) {
+TEST_F(WorkerHealthTest, JobThatFailsOnSeveralHostsDoesNotCount) {
     fail("a", "job-1", Millis(3000));
     fail("b", "job-1", Millis(3000));
     fail("b", "job-2", Millis(3000));
@@ -155,7 +155,7 @@
     EXPECT_FALSE(isSuspect("b"));
 }
 
-TEST_F(WorkerHealthTest, AJobThatFailedOnAHostThatFailsOthersTooCountsAgainstTheNext) {
+TEST_F(WorkerHealthTest, FailureOnSuspectHostDoesNotExcuseNextHost) {
     fail("a", "job-2");
     fail("a", "job-1");
     fail("b", "job-1");
