--- a/libs/control/include/pierbank/control/PlanThrottle.h
+++ b/libs/control/include/pierbank/control/PlanThrottle.h
@@ -8,7 +8,7 @@
 
 /**
  * Limits the share of time that the leader spends on planning. When hundreds of workers connect,
- * each of them triggers a new plan. On a slow host these plans duration all processor time, so that
+ * each of them triggers a new plan. On a slow host these plans took all processor time, so that
  * the leader's lease lapsed. After each plan, the leader's other work gets its share of the time.
  */
 class PlanThrottle {
--- a/libs/job/include/pierbank/job/WorkerIncarnation.h
+++ b/libs/job/include/pierbank/job/WorkerIncarnation.h
@@ -33,7 +33,7 @@
     auto operator<=>(const WorkerIncarnation&) const = default;
 };
 
-/** Returns the worker's id from the text of an incarnation. */
+/** Returns the worker's id from the text of an incarnation, which may lack the start time. */
 std::string_view getWorkerIdOf(std::string_view incarnation);
 
 }  // namespace pierbank
