--- a/libs/control/include/pierbank/control/JobController.h
+++ b/libs/control/include/pierbank/control/JobController.h
@@ -32,111 +32,133 @@
 
 namespace pierbank {
 
+/** Settings of a JobController and of the parts that it owns. */
 struct JobControllerSettings {
     TaskPlannerSettings m_planner;
     WorkerHealthSettings m_health;
     UrgentDemandSettings m_demand;
     EvacuationFeedSettings m_evacuations;
     /**
-     * A run that has not begun so long after its failure domain's evacuation became known is taken
-     * back. What is under way begins within milliseconds as a rule, and this leaves a fifth of the
-     * users' bound more for the order to take it back.
+     * Time from learning of an evacuation until the runs in its failure domain that have not
+     * started are revoked. Orders that are already in flight normally start within milliseconds. A
+     * further fifth of EvacuationFeedSettings::m_bound remains for delivering the revocations.
      */
     Millis m_startTimeout{1000};
     /**
-     * Room is kept for urgent work as it is seen to arrive: +0.014 and +0.023 of a day's worth on
-     * fleets of 63 and 80 hosts, each +- 0.015 (means of 20 paired plays, so likely, not shown).
+     * Whether capacity is reserved for urgent work according to its observed arrivals. Simulated
+     * days suggest a small gain.
      */
     bool m_reservesHeadroom = true;
     /**
-     * Hosts are judged by how runs end there: with one worker that fails everything, 0 instead of
-     * 17 of 300 jobs used up their attempts (means of five replays).
+     * Whether hosts get a failure score from the ends of their runs and are avoided accordingly.
+     * Without scores, a single worker on which every run fails makes jobs exhaust their attempts.
      */
     bool m_scoresHosts = true;
-    /** Hosts on which nothing advances get no work, and what runs there may begin elsewhere. */
+    /** Whether stalled hosts get no new work and their runs may be restarted on other hosts. */
     bool m_detectsStalls = true;
-    /** Urgent work goes to hosts that are seen to be fast, other work leaves them free. */
+    /** Whether urgent work prefers hosts that were observed to be fast and other work avoids them.
+     */
     bool m_learnsSpeeds = true;
     /**
-     * A worker that is cold is taken for so many times slower than it is known to be, so that
-     * urgent work goes to warm ones while there are any and other work warms the cold ones up. By
-     * reasoning: how much slower is in no setting, and no fleet that was measured has cold workers.
+     * Factor by which a cold worker's slowness is multiplied, so that urgent work prefers warmed-up
+     * workers and other work warms up the cold ones. The value is an assumption: no setting states
+     * how much slower a cold worker is.
      */
-    double m_coldSlowness = 1.5;
-    /** What happens within this time is decided and committed together. */
+    double m_coldSlowdown = 1.5;
+    /** Delay of a scheduling step; events within this time are handled in one step and commit. */
     Millis m_commitDelay{3};
     /**
-     * A plan depends on the time only by what waits, and by runs that are slow, stand still or lie
-     * on a worker that leaves. With units that wait it is made anew this often, and without any at
-     * the second pace, if nothing else changes.
+     * Interval between plans while nothing else changes: `m_planInterval` while units wait for
+     * workers, otherwise `m_idlePlanInterval`. The passage of time alone changes a plan only
+     * through waiting units, and through runs that are slow, stalled or on a leaving worker.
      */
     Millis m_planInterval{100};
     Millis m_idlePlanInterval{500};
-    /** A plan that took longer is logged with what it was made from. */
-    Millis m_slowPlan{20};
+    /** Planning time above which a plan is logged, together with the sizes of its input. */
+    Millis m_slowPlanThreshold{20};
     /**
-     * Time of one waiting watch. A watch that was cut may just stay silent, so this, and not the
-     * price of a call, bounds how long the leader can be deaf.
+     * Duration of one long-polling watch call. A watch whose connection was cut may report no
+     * error, so this value bounds how long the leader can miss changes. It is chosen for that
+     * bound, not for the cost of the calls.
      */
     Millis m_watchWait{800};
     /**
-     * On a host where nothing advances, a run is stopped to begin elsewhere at once if it is urgent
-     * or loses less than this, and else after `m_stallTimeout`: what stands still may go on.
+     * On a stalled host, a run is stopped at once, to restart on another host, if it is urgent,
+     * saves its progress or has worked for less than `m_maxCheapLoss`. Any other run is stopped
+     * after `m_stallTimeout`, since a stalled run may resume.
      */
-    Millis m_cheapLoss{2500};
+    Millis m_maxCheapLoss{2500};
     Millis m_stallTimeout{8000};
-    /** A host's report that does not show what was ordered so long before it: it got lost. */
+    /** Time after which an order that the host's reports do not list counts as lost. */
     Millis m_orderReportTimeout{2000};
-    /** So long a new leader waits for its workers' links before it stops work for other work. */
+    /**
+     * Maximum time after loading for which a new leader waits for its initial links to workers
+     * before it preempts work.
+     */
     Millis m_initialLinkTimeout{1000};
-    /** So long after its leadership was confirmed a leader tells others what it knows of jobs: less
-     * than the lease under which it leads. */
+    /**
+     * Maximum age of the last confirmation of the leadership at which the leader answers queries
+     * about pending jobs; less than the leader's lease.
+     */
     Millis m_maxConfirmationAge{900};
-    /** How long the state of a job that is over is kept (users' bound, and more). */
+    /** Retention of the state of a finished job; longer than the platform's contract requires. */
     Millis m_finishedJobRetention{180'000};
 };
 
-/** What an operator decided about a worker. */
+/** An operator's decision about a worker. */
 enum class WorkerAdminState {
+    /** Normal operation. */
     RELEASE,
-    /** No new work; what runs goes on. */
+    /** The worker gets no new work; its runs continue. */
     QUARANTINE,
-    /** No new work, and what can moves off. */
+    /** The worker gets no new work, and runs that can migrate move to other workers. */
     DRAIN,
 };
 
-std::string_view toText(WorkerAdminState hold);
+/** Returns the word for a state in statements and in the store. */
+std::string_view toText(WorkerAdminState state);
 
-/** How it became known that what ran on a worker runs no more. */
+/** How the leader found out that the runs of a worker no longer run. */
 enum class LossCause {
+    /** The worker's lease lapsed. */
     LEASE_LAPSED,
+    /** The host reports another incarnation of the worker. */
     OTHER_INCARNATION,
+    /** The worker reported that it has exited. */
     WORKER_LEFT,
 };
 
+/** Returns the description of a cause for the log. */
 std::string_view toText(LossCause cause);
 
-/** What a leader did since it began to lead. */
+/** Counters and latencies of the work that a JobController did as the leader. */
 struct JobStatistics {
+    /** Placed runs, without speculative copies. */
     std::uint64_t m_placed = 0;
+    /** Speculative copies. */
     std::uint64_t m_copied = 0;
+    /** Runs stopped by a plan, by a stall or by a revocation. */
     std::uint64_t m_stopped = 0;
+    /** Runs lost with their workers. */
     std::uint64_t m_lost = 0;
-    /** Taken back because their failure domain is under evacuation. */
+    /** Runs revoked because their failure domain is under evacuation. */
     std::uint64_t m_revoked = 0;
     std::uint64_t m_commits = 0;
     std::uint64_t m_plans = 0;
-    /** Time that a plan took. */
+    /** Duration of planning. */
     LatencySummary m_planTime;
-    /** From acceptance to the first placement of a job without times. */
+    /** Time from acceptance to the first placement, of jobs that are not timed. */
     LatencySummary m_untilPlaced;
 };
 
 /**
- * The leader's work: it knows all jobs, decides what runs where, and tells the sidecars. Each
- * decision changes the job in memory, goes to the store in a transaction that expects the leader
- * key's revision, and only when that is known to have taken effect do starts go out and ends count
- * as kept; stops go out at once. A leader that was replaced can commit nothing.
+ * Schedules all jobs while this gateway leads: decides which task runs on which worker and sends
+ * the orders to the sidecars. Owned by JobCore; all calls and callbacks happen on the event loop.
+ *
+ * Each decision first changes the job in memory. A transaction that is conditional on the revision
+ * of the leader key then writes the decision to the store, so that a superseded leader can commit
+ * nothing. Start orders are sent, and ends of runs count as persisted, only once that transaction
+ * is known to have committed. Most stops are sent at once; see sendOrQueueStop().
  */
 class JobController final : public WorkerPoolListener, public WaveSchedule {
 public:
@@ -148,57 +170,78 @@
     JobController(const JobController&) = delete;
     JobController& operator=(const JobController&) = delete;
 
-    /** Called when another leader turns out to have written, or the state can't be trusted. */
+    /**
+     * Sets the callback for a failed commit: another gateway leads, or the state in memory may
+     * differ from the store.
+     */
     void onLeadershipLost(std::function<void()> callback) {
         m_onLeadershipLost = std::move(callback);
     }
 
     using RelayHandler =
             std::function<void(const RelayedRequest&, std::function<void(const RelayedAnswer&)>)>;
-    /** Called with requests that other gateways could not answer themselves. */
+    /** Sets the handler of requests that other gateways relay because they can't answer them. */
     void onRelayed(RelayHandler handler) { m_onRelayed = std::move(handler); }
 
-    /** Leads from now on. @param getConfirmedAt when the leadership was last confirmed. */
+    /**
+     * Starts a term of leadership: loads the jobs from the store and begins to schedule them.
+     * @param epoch revision of the leader key.
+     * @param getConfirmedAt returns when the leadership was last confirmed.
+     */
     void lead(StoreRevision epoch, std::function<Millis()> getConfirmedAt);
+    /** Ends the term and discards its state; callbacks that are still pending are ignored. */
     void stepDown();
     bool isLeading() const noexcept { return m_isLeading; }
-    /** The configuration changed. */
+    /** Plans anew and sends the changed configuration's revision to the linked gateways. */
     void handleConfiguration();
-    /** How well this gateway leads, as others say it of themselves. */
+    /** Sets the provider of this gateway's fitness to lead. */
     void setFitnessProvider(std::function<std::uint32_t()> getFitness) {
         m_getFitness = std::move(getFitness);
     }
 
     const JobTable& getJobs() const noexcept { return m_jobs; }
     const WorkerPool& getWorkers() const noexcept { return m_workers; }
-    /** Why a plan made now would leave a job where it is; empty when it says nothing of it. */
+    /**
+     * Returns why a plan made now would leave a job in its state; empty if the plan gives no
+     * explanation for the job.
+     */
     std::string getNote(const std::string& job) const;
-    /** Work takes so many times as long there as on a mean worker, as far as was seen. */
+    /**
+     * Returns the observed duration of work on an incarnation of a worker, relative to an average
+     * worker.
+     */
     double getSlowness(std::string_view incarnation) const {
         return m_speeds.getSlowness(incarnation);
     }
-    /** Until when a host's worker is slow from its start; empty: it told of no such time. */
+    /**
+     * Returns when a host's worker will have warmed up; empty if the worker did not report itself
+     * as cold.
+     */
     std::optional<Millis> getColdUntil(const std::string& host) const;
-    /** What would become of a job that was handed in now; nothing changes. */
+    /** Returns the plan that would result if the job were submitted now, without applying it. */
     TaskPlan tryPlan(const JobRecord& record) const;
     const JobStatistics& getStatistics() const noexcept { return m_statistics; }
-    std::uint32_t getFragmentationWeight() const noexcept { return m_weight; }
-    /** What operators decided about a worker; RELEASE for nothing. */
+    std::uint32_t getFragmentationWeight() const noexcept { return m_currentFragmentationWeight; }
+    /** Returns an operator's decision about a worker; RELEASE if there is none. */
     WorkerAdminState getAdminState(const std::string& host) const;
-    /** Failure domains under evacuation by the platform's operators. */
+    /** Returns the failure domains that the platform's operators evacuate. */
     const EvacuationFeed& getEvacuations() const noexcept { return m_evacuations; }
-    /** The same by an operator's statement. */
+    /** Returns whether an operator's statement evacuates a failure domain. */
     bool isEvacuatedByStatement(std::string_view domain) const;
     const std::set<std::string, std::less<>>& getStatementEvacuations() const noexcept {
         return m_statementEvacuations;
     }
-    /** Nothing may begin there, whoever asked for that. */
+    /**
+     * Returns whether a failure domain is under evacuation by either means, so that no run may
+     * start in it.
+     */
     bool isEvacuated(std::string_view domain) const;
 
-    // WaveSchedule.
+    // WaveSchedule
     WorkerLoad getLoad(const std::string& worker) const override;
-    void setLeaving(std::set<std::string, std::less<>> workers) override;
+    void setLeavingWorkers(std::set<std::string, std::less<>> workers) override;
 
+    // WorkerPoolListener
     void handleWorkerChanged(const std::string& host) override;
     void handleRunReport(const std::string& host, const RunReport& report) override;
     void handleRunAbsent(const std::string& host, const RunAbsent& absent) override;
@@ -206,10 +249,10 @@
     void handleHostExpired(const std::string& host) override;
     void handleInputNotice(const InputNotice& notice) override;
     void handleRelayed(const std::string& host, const RelayedRequest& request) override;
-    void handleGatewayQuery(const std::string& host, const GatewayQuery& ask) override;
+    void handleGatewayQuery(const std::string& host, const GatewayQuery& query) override;
 
 private:
-    // Loading and watching what lies in the store (JobControllerStore.cpp).
+    // Loads and watches the input in the store (JobControllerStore.cpp).
     void load();
     void loadRuns(const StoreList& input);
     void watch();
@@ -217,82 +260,83 @@
     void handleInput(const StoreItem& item);
     void addJob(const StoreItem& item);
     void addRun(const StoreItem& item);
-    void blameHosts();
+    void restoreStalledHosts();
     std::set<std::string, std::less<>> listHostsWithRuns() const;
     void requestCancel(const std::string& id);
     void updateWeight(std::string_view text);
     void updateAdminState(const std::string& host, std::string_view word);
     void updateDomain(const std::string& domain, std::string_view word);
 
-    // What it tells the gateways that follow (JobControllerGateways.cpp).
-    GatewayReply makeGatewayReply(std::uint64_t question) const;
+    // Answers gateways that do not lead (JobControllerGateways.cpp).
+    GatewayReply makeGatewayReply(std::uint64_t queryNumber) const;
     bool isLeadershipConfirmed() const;
     std::vector<PendingEntry> countPending() const;
 
-    // Deciding.
-    /** Something that a plan depends on has changed. */
-    void stepSoon();
+    // Schedules and runs steps (JobController.cpp).
+    /** Marks the plan as stale and schedules a step, after a change of the plan's input. */
+    void invalidatePlan();
     void scheduleStep();
     void step();
     bool isPlanDue() const;
-    void planLater();
+    void schedulePlan();
     void applyCancels();
     void addOccurrences();
     void plan();
-    // What it shows to the planner (JobControllerView.cpp).
+    // Prepares the planner's input (JobControllerView.cpp).
     TaskPlanner makePlanner() const;
     TaskPlan makePlan(const std::vector<PlannedJob>& jobs, bool withExplanations) const;
     std::vector<PlannedJob> listJobs(std::vector<AdvisedWorkers>& advised) const;
     const std::vector<WorkerSnapshot>& getWorkerSnapshots() const;
     void rebuildWorkerSnapshots() const;
-    void updateSnapshot(WorkerSnapshot& view, const WorkerPool::Host& host) const;
+    void updateSnapshot(WorkerSnapshot& snapshot, const WorkerPool::Host& host) const;
     void requestTickets();
     bool mayPreempt() const;
-    void notePlanTime(Millis took, const TaskPlan& plan);
-    void noteUrgentWaits(const TaskPlan& plan);
+    void recordPlanTime(Millis took, const TaskPlan& plan);
+    void logUrgentWaits(const TaskPlan& plan);
     const std::string* findHostOf(std::string_view worker) const;
     bool isLeaving(std::string_view incarnation) const;
 
-    // What becomes of a plan (JobControllerOrders.cpp).
+    // Applies plans and sends orders to the sidecars (JobControllerOrders.cpp).
     void place(const std::vector<Placement>& placements);
-    void placeCopy(const Placement& placement);
+    void placeSpeculativeCopy(const Placement& placement);
     void stop(const Stop& stop);
-    /** Cores that a task takes, accelerators included, rounded; for the log. */
-    static long getWeight(const JobRecord& record, const TaskKey& task);
-    void stopNow(JobEntry& entry, const ActiveRun& run);
-    void stopRuns(JobEntry& entry, const std::vector<ActiveRun>& runs);
+    /** Returns the cores of a task's demand, accelerators included, rounded for the log. */
+    static long getRoundedCores(const JobRecord& record, const TaskKey& task);
+    void sendOrQueueStop(JobEntry& entry, const ActiveRun& run);
+    void queueStops(JobEntry& entry, const std::vector<ActiveRun>& runs);
     void sendOrder(JobEntry& entry, const ActiveRun& run);
     RunOrder makeOrder(const JobEntry& entry, const ActiveRun& run) const;
     bool isAvoided(const std::string& host) const;
-    bool wasCold(const std::string& host, const TaskKey& task, std::uint32_t run) const;
+    bool wasPlacedWhileCold(const std::string& host, const TaskKey& task, std::uint32_t run) const;
     bool isStalled(const std::string& host) const;
-    void moveStalled();
-    bool mustMove(const JobEntry& entry, const ActiveRun& run) const;
+    void stopStalledRuns();
+    bool mustStopStalledRun(const JobEntry& entry, const ActiveRun& run) const;
 
-    // Failure domains under evacuation (JobControllerEvacuations.cpp).
+    // Keeps evacuated failure domains free of new runs (JobControllerEvacuations.cpp).
     void handleEvacuations();
     bool isHostEvacuated(const std::string& host) const;
     void revokeUnstarted();
     void revoke(JobEntry& entry, const ActiveRun& run);
-    void sendDecided(const PendingMessage& message);
+    void sendCommitted(const PendingMessage& message);
 
-    // What the sidecars report (JobControllerReports.cpp).
+    // Handles the sidecars' reports (JobControllerReports.cpp).
     void resendOrders(const std::string& host);
     void resendLostOrders();
-    void resendRun(JobEntry& entry, const ActiveRun& run, const RunReport& report);
-    static bool isShown(const ActiveRun& run, const RunReport& report);
-    void noteProgress(const std::string& host, const RunReport& report);
-    static bool hasStoodOnSeveralHosts(const JobEntry& entry, const TaskKey& task);
-    bool isGangThere(const JobEntry& entry, const TaskKey& member, std::uint32_t run) const;
-    std::optional<ActiveRun> findRunAt(JobEntry& entry, const TaskKey& key, std::uint32_t run,
-                                       const WorkerId& worker);
+    void resendOrderOrStop(JobEntry& entry, const ActiveRun& run, const RunReport& report);
+    static bool isInReport(const ActiveRun& run, const RunReport& report);
+    void recordProgress(const std::string& host, const RunReport& report);
+    static bool hasFailedOnSeveralHosts(const JobEntry& entry, const TaskKey& task);
+    bool isWholeGangRunning(const JobEntry& entry, const TaskKey& member, std::uint32_t run) const;
+    std::optional<ActiveRun> findOrRebindRun(JobEntry& entry, const TaskKey& key, std::uint32_t run,
+                                             const WorkerId& worker);
     std::string_view getReportedIncarnation(const std::string& host) const;
     void stopOrphanedRuns(const WorkerId& worker, const RunReport& report);
     void applyRunEnd(const WorkerId& worker, const EndedEntry& end);
-    void takeEffect(JobEntry& entry, const EndEffect& effect);
+    void applyEffect(JobEntry& entry, const EndEffect& effect);
 
-    // Runs that are lost with their workers (JobControllerLosses.cpp).
-    void loseRuns(const std::string& host, const std::string& exceptIncarnation, LossCause cause);
+    // Handles runs that are lost with their workers (JobControllerLosses.cpp).
+    void releaseLostRuns(const std::string& host, const std::string& exceptIncarnation,
+                         LossCause cause);
     std::optional<LossCategory> classifyLoss(const JobEntry& entry, const ActiveRun& run,
                                              LossCause cause) const;
     bool neverStarted(const ActiveRun& run) const;
@@ -300,16 +344,16 @@
     void classifyCrash(const std::string& host, const WorkerCrash& crash);
     const TaskRun* findTask(const TaskKey& key) const;
     void recordLoss(JobEntry& entry, const TaskKey& key, const RunLoss& loss);
-    void settleOpenLosses(const std::string& host, const WorkerNotice& notice);
-    void acquit(const std::string& host, const std::string& incarnation);
-    void refuteLosses(JobEntry& entry, const TaskKey& key, std::uint32_t run);
-    void findOpenLosses();
-    void forgetOpenLoss(JobEntry& entry, const TaskKey& key, const RunLoss& loss);
-    /** Calls `function(entry, key, loss)` for each open loss of the jobs that are not over. */
+    void resolveLosses(const std::string& host, const WorkerNotice& notice);
+    void discardUnresolvedLossesOn(const std::string& host, const std::string& incarnation);
+    void clearRefutedLosses(JobEntry& entry, const TaskKey& key, std::uint32_t run);
+    void restoreUnresolvedLosses();
+    void discardUnresolvedLoss(JobEntry& entry, const TaskKey& key, const RunLoss& loss);
+    /** Calls `function(entry, key, loss)` for each unresolved loss of the unfinished jobs. */
     template <typename Function>
-    void forEachOpenLoss(Function function);
+    void forEachUnresolvedLoss(Function function);
 
-    // Committing (JobControllerCommits.cpp).
+    // Commits decisions to the store (JobControllerCommits.cpp).
     void commitDirty();
     bool addToTransaction(const std::string& id, JobEntry& entry, StoreTransaction& transaction);
     void handleCommitted(const std::vector<std::string>& ids, const StoreCommit& commit);
@@ -317,6 +361,7 @@
     void removeFinishedJobs();
     void tick();
     void abandonLeadership(std::string_view why);
+    /** Wraps a task so that it does nothing once the current term has ended. */
     std::function<void()> guarded(std::function<void()> task);
 
     RecordStore& m_store;
@@ -327,10 +372,10 @@
     WorkerHealth m_health;
     CapacityRefusals m_capacityRefusals;
     ProgressTracker m_progress;
-    /** By the worker's life: another life may be another machine. */
+    /** Keyed by incarnation, since another incarnation of a worker may run on another machine. */
     HostSpeeds m_speeds;
     UrgentDemand m_demand;
-    TicketCache m_advice;
+    TicketCache m_ticketCache;
     EvacuationFeed m_evacuations;
     std::function<void()> m_onLeadershipLost;
     RelayHandler m_onRelayed;
@@ -345,46 +390,47 @@
     StoreRevision m_epoch = 0;
     StoreRevision m_watchedTo = 0;
     JobTable m_jobs;
-    /** Jobs whose run in the store can't be read. */
-    std::set<std::string> m_unreadable;
-    /** Withdrawals of jobs that are not known yet. */
+    /** Ids of jobs whose run in the store can't be decoded. */
+    std::set<std::string> m_unreadableRuns;
+    /** Ids of jobs whose cancel was read before the job itself. */
     std::set<std::string> m_earlyCancels;
-    PersistedEnds m_ledger;
+    PersistedEnds m_persistedEnds;
+    /** The last report of a host and when it was received. */
     struct HostReport {
         RunReport m_report;
         Millis m_at{0};
     };
     std::map<std::string, HostReport> m_reports;
     Millis m_ordersCheckedAt{0};
-    /** What a plan depends on has changed since the last one was made. */
+    /** Whether the plan's input has changed since the last plan. */
     bool m_isPlanStale = true;
-    /** Urgent jobs that waited in the last plan. */
+    /** Ids of the urgent jobs that waited in the last plan. */
     std::set<std::string, std::less<>> m_urgentWaiting;
-    /** Units that the last plan left waiting. */
-    std::size_t m_waiting = 0;
+    /** Number of units that the last plan left waiting. */
+    std::size_t m_waitingUnits = 0;
     Millis m_plannedAt{0};
-    PlanThrottle m_pace;
+    PlanThrottle m_planThrottle;
     TimerId m_planTimer = TimerId::NONE;
-    /** What is known of the workers but for what may change at any time; see updateSnapshot(). */
+    /** Cached; getWorkerSnapshots() refreshes the fields that may change at any time. */
     mutable std::vector<WorkerSnapshot> m_snapshots;
     mutable bool m_areSnapshotsStale = true;
     JobStatistics m_statistics;
-    /** TaskPlannerSettings::m_fragmentationWeight as operators set it. */
-    std::uint32_t m_weight = 0;
-    /** By host. */
+    /** TaskPlannerSettings::m_fragmentationWeight, as last set by an operator's statement. */
+    std::uint32_t m_currentFragmentationWeight = 0;
+    /** Operators' decisions by host. */
     std::map<std::string, WorkerAdminState> m_adminStates;
-    /** Failure domains that get nothing by an operator's statement. */
+    /** Failure domains that an operator's statement evacuates. */
     std::set<std::string, std::less<>> m_statementEvacuations;
-    /** Lives whose crash was judged in this term. */
-    std::set<std::string> m_judged;
-    /** Hosts on which runs were lost that may have crashed them, or not. */
-    std::set<std::string> m_openHosts;
-    /** Ids of workers that are emptied for upkeep, as the list of machines names them. */
-    std::set<std::string, std::less<>> m_leaving;
+    /** Incarnations whose crash was classified in this term. */
+    std::set<std::string> m_classifiedIncarnations;
+    /** Hosts on which runs were lost without their category being known yet. */
+    std::set<std::string> m_hostsWithUnresolvedLosses;
+    /** Ids of workers that are drained for upkeep, as in the list of machines. */
+    std::set<std::string, std::less<>> m_leavingWorkers;
     bool m_isCommitting = false;
     TimerId m_stepTimer = TimerId::NONE;
     TimerId m_revokeTimer = TimerId::NONE;
-    /** Replaced with each term of leadership: callbacks of earlier ones are ignored. */
+    /** Replaced with each term of leadership, so that callbacks of earlier terms are ignored. */
     std::shared_ptr<bool> m_term;
 };
 
--- a/libs/control/include/pierbank/control/JobCore.h
+++ b/libs/control/include/pierbank/control/JobCore.h
@@ -11,7 +11,7 @@
 
 namespace pierbank {
 
-/** What the platform gives a gateway. All must outlive what uses them. */
+/** Interfaces of the platform that a gateway uses. The referents must outlive the gateway. */
 struct PlatformPorts {
     RecordStore& m_store;
     Advisor& m_advisor;
@@ -19,6 +19,7 @@
     const DocumentCodec& m_codec;
 };
 
+/** Settings of a JobCore and of its parts. */
 struct JobCoreSettings {
     ConfigurationFeedSettings m_configuration;
     IntakeSettings m_intake;
@@ -27,11 +28,15 @@
     JobControllerSettings m_jobs;
     WaveControllerSettings m_waves;
     LeadershipCandidacySettings m_bid;
-    /** Where the leader connects to this gateway. */
+    /** Address on which this gateway accepts the leader's link. */
     Address m_links;
 };
 
-/** All of a gateway but its listening sockets: configuration, intake, leadership, jobs. */
+/**
+ * A gateway without its HTTP servers: owns and connects the configuration, the intake of requests,
+ * the candidacy for leadership, the job controller and the link to the leader. Runs on the event
+ * loop only.
+ */
 class JobCore final : private IntakeRelay, private ConfigurationSource {
 public:
     /** The references must outlive the core. */
@@ -40,14 +45,20 @@
     JobCore(const JobCore&) = delete;
     JobCore& operator=(const JobCore&) = delete;
 
-    /** @return false with `reason` when the address for links is not free. */
+    /**
+     * Starts listening for the leader's link, registers the gateway and starts the candidacy.
+     * @return false, with `reason`, if the address for links can't be listened on.
+     */
     bool start(Reason& reason);
-    /** Hands the leadership over and does not take it again. */
+    /** Gives up the leadership for good, so that another gateway can take it over. */
     void release() { m_lock.release(); }
 
     JobIntake& getIntake() noexcept { return m_intake; }
     const ConfigurationFeed& getConfiguration() const noexcept { return m_configuration; }
-    /** Callers can be served: the store was reached lately, or a leader that can answers. */
+    /**
+     * Returns whether requests can be served: the store was reached within `maxAge`, or this
+     * gateway has a usable link to another leader.
+     */
     bool isReady(Millis maxAge) const;
     const LeaderLock& getLock() const noexcept { return m_lock; }
     const JobController& getJobs() const noexcept { return m_jobs; }
@@ -56,12 +67,12 @@
     void connectLock();
     void connectLeader();
 
-    // IntakeRelay and ConfigurationSource: another gateway leads, and is heard of.
+    // IntakeRelay and ConfigurationSource, usable while another gateway leads and is reachable
     bool isUsable() const override;
     void ask(std::function<void(const std::optional<ConfigurationNotice>&)> done) override {
         m_leaderLink.ask(std::move(done));
     }
-    void relay(const IntakeRequest& request, Millis patience,
+    void relay(const IntakeRequest& request, Millis timeout,
                std::function<void(const std::optional<IntakeAnswer>&)> done) override;
     void countPending(std::function<void(const std::optional<PendingJobs>&)> done) override {
         m_leaderLink.queryPending(std::move(done));
@@ -71,7 +82,7 @@
 
     RecordStore& m_store;
     Transport& m_transport;
-    const Address m_links;
+    const Address m_linkAddress;
     ConfigurationFeed m_configuration;
     JobIntake m_intake;
     LeadershipCandidacy m_bid;
--- a/libs/control/include/pierbank/control/JobTable.h
+++ b/libs/control/include/pierbank/control/JobTable.h
@@ -16,39 +16,40 @@
 
 namespace pierbank {
 
-/** A message to a sidecar that may go out only once the decision behind it is committed. */
+/** A message to a sidecar that is sent once the decision behind it has been committed. */
 struct PendingMessage {
     std::string m_host;
     Frame m_frame;
 };
 
-/** One job as the leader has it: what is committed, and changes on the way to the store. */
+/** The leader's state of one job, with changes that are not committed yet. */
 struct JobEntry {
     JobRecord m_record;
     JobRun m_run;
-    /** Revision of the committed run; zero while there is none. */
+    /** Store revision of the committed run; zero if none has been committed. */
     StoreRevision m_runRevision = 0;
-    /** `m_run` differs from what is committed or on its way. */
+    /** Whether `m_run` has changes that are neither committed nor in a pending transaction. */
     bool m_isDirty = false;
-    /** A transaction with this job is under way. */
+    /** Whether a pending transaction contains this job. */
     bool m_isCommitting = false;
     bool m_isCancelRequested = false;
-    /** The job's record and cancel are still in the store. */
+    /** Whether the job's record and cancel are still in the store. */
     bool m_hasInput = true;
-    /** What urgent work waited for in the last plan; empty: it did not. Told in the log. */
-    std::optional<UrgentWait::Cause> m_waitsFor;
-    /** Sent when the next commit of this job is known. */
-    std::vector<PendingMessage> m_messages;
-    /** Ends of runs that the next commit of this job keeps. */
-    std::vector<std::pair<WorkerId, std::uint64_t>> m_ends;
-    /** The same, of the transaction that is under way. */
-    std::vector<PendingMessage> m_messagesUnderWay;
-    std::vector<std::pair<WorkerId, std::uint64_t>> m_endsUnderWay;
-
-    /** A start of this run, or a stop, waits for a commit. */
+    /** Why the urgent job waited in the last plan, for the log; empty if it did not wait. */
+    std::optional<UrgentWait::Cause> m_waitCause;
+    /** Messages to send after the next commit of this job. */
+    std::vector<PendingMessage> m_pendingMessages;
+    /** Ends of runs, by worker and number, that the next commit of this job persists. */
+    std::vector<std::pair<WorkerId, std::uint64_t>> m_endsToPersist;
+    /** Messages and ends that belong to the pending transaction. */
+    std::vector<PendingMessage> m_committingMessages;
+    std::vector<std::pair<WorkerId, std::uint64_t>> m_committingEnds;
+
+    /** Returns whether a start or a stop of this run waits for a commit. */
     bool hasPendingMessage(const std::string& task, std::uint32_t run) const;
 };
 
+/** Jobs by id. */
 using JobTable = std::map<std::string, JobEntry, std::less<>>;
 
 }  // namespace pierbank
--- a/libs/control/include/pierbank/control/MachineFleet.h
+++ b/libs/control/include/pierbank/control/MachineFleet.h
@@ -11,50 +11,65 @@
 
 namespace pierbank {
 
+/** State of a machine in the platform's list. */
 enum class MachineState { UP, MOVING, UPKEEP, DOWN };
 
-/** A machine under a worker. Upkeep gives its worker a new life. */
+/** A machine that hosts a worker. Upkeep ends the worker's incarnation. */
 struct Machine {
     std::string m_name;
     MachineState m_state = MachineState::DOWN;
-    /** Its worker's id, empty while it has none; the list tells no moment of start. */
+    /**
+     * Id of the machine's worker, empty if there is none. The list does not include the worker's
+     * start time, so this does not identify an incarnation.
+     */
     std::string m_workerId;
 };
 
+/** Result of listing the machines. */
 struct MachineList {
+    /** Whether the list is complete; otherwise `m_reason` describes the failure. */
     bool m_isGood = false;
     std::vector<Machine> m_machines;
     std::string m_reason;
 };
 
-/** How an order to a machine went. */
+/** Outcome of an order to a machine. */
 enum class MachineOrderStatus {
-    /** Begun, or begun earlier. */
+    /** Upkeep has started, now or by an earlier order. */
     DONE,
-    /** Not now: it is not up, leaves, or can't be taken down. */
+    /** The machine is not up, is leaving or can't be taken down at the moment. */
     BUSY,
-    /** Another leader has ordered since. */
+    /** Rejected, since a newer leader has given an order. */
     FENCED,
-    /** There is no such machine, or the order does not apply to it. */
+    /** The machine does not exist, or the order does not apply to it. */
     INVALID,
-    /** Refused for now, or no whole answer: it may have been carried out. */
+    /** Temporarily refused, or without a complete answer; the order may have been carried out. */
     UNKNOWN,
 };
 
-/** Upkeep of one machine, on whose word. */
+/** Order to start the upkeep of one machine. */
 struct UpkeepOrder {
     std::string m_machine;
+    /** Number of the upkeep wave. */
     std::uint64_t m_wave = 0;
+    /** Node of the leader that gives the order, and its epoch for fencing. */
     std::string m_holder;
     std::uint64_t m_epoch = 0;
 };
 
-/** The platform's machines, which may be slow or down. Callbacks are called once, on the loop. */
+/**
+ * Interface to the platform's machines, whose calls may be slow or fail. Each callback is called
+ * once, on the event loop.
+ */
 class MachineFleet {
 public:
     virtual ~MachineFleet() = default;
+    /** Lists all machines. */
     virtual void list(std::function<void(const MachineList&)> done) = 0;
-    /** On DONE everything that ran there is dead. */
+    /**
+     * Starts the upkeep of a machine. DONE means that nothing that ran on the machine runs any
+     * more.
+     */
     virtual void beginUpkeep(const UpkeepOrder& order,
                              std::function<void(MachineOrderStatus)> done) = 0;
 };
--- a/libs/control/include/pierbank/control/StoreKeys.h
+++ b/libs/control/include/pierbank/control/StoreKeys.h
@@ -8,50 +8,54 @@
 
 namespace pierbank {
 
-// Keys of the store. What the leader has to hear of lies under one prefix, so that one watch is
-// enough; what it decided lies under another, so that it does not hear of its own writes.
+// Keys of the store. All inputs of the leader share one prefix, so that one watch covers them. The
+// leader's decisions have another prefix, so that the watch does not report the leader's own
+// writes.
 
-/** The operators' configuration; written by them alone. */
+/** The operators' configuration, which only the operators write. */
 inline constexpr std::string_view CONFIGURATION_KEY = "op/config";
-/** The leader's lease; its revision is the epoch. */
+/** The leader's lease; the revision of this key is the epoch. */
 inline constexpr std::string_view LEADER_KEY = "leader";
-/** What the leader watches. */
+/** Prefix of everything that the leader watches. */
 inline constexpr std::string_view INPUT_PREFIX = "input/";
-/** An accepted job (JobRecord). */
+/** Accepted jobs (JobRecord) by id. */
 inline constexpr std::string_view JOB_PREFIX = "input/job/";
-/** A caller's wish that a job be withdrawn. */
+/** Requests to cancel a job, by the job's id. */
 inline constexpr std::string_view CANCEL_PREFIX = "input/cancel/";
-/** Address of a sidecar. */
+/** Registered sidecars by address. */
 inline constexpr std::string_view HOST_PREFIX = "input/host/";
-/** Address at which a gateway takes the leader's link. */
+/** Registered gateways by the address on which they accept the leader's link. */
 inline constexpr std::string_view GATEWAY_PREFIX = "input/gateway/";
-/** What the leader decided about a job (JobRun). */
+/** The leader's decisions about a job (JobRun), by the job's id. */
 inline constexpr std::string_view RUN_PREFIX = "run/";
 
-/** A failure domain that is to get nothing, until the key is gone; written by them alone. */
+/** Failure domains, evacuated while their key exists; only the operators write these keys. */
 inline constexpr std::string_view EVACUATION_PREFIX = "op/evacuate/";
 
-/** Upkeep that the operators ask for; written by them alone. */
+/** Upkeep waves requested by the operators, by number; only the operators write these keys. */
 inline constexpr std::string_view WAVE_PREFIX = "op/wave/";
 
-/** How upkeep that was asked for stands, for the operators. */
+/** Status of each upkeep wave, for the operators. */
 inline constexpr std::string_view WAVE_STATUS_PREFIX = "status/wave/";
 
-/** Machines of a wave whose upkeep has begun. */
+/** Machines of each upkeep wave whose upkeep has started. */
 inline constexpr std::string_view WAVE_STATE_PREFIX = "wave/";
 
-/** What an operator decided about a worker: `drain`, `quarantine` or `release`. */
+/** Operators' decisions about a worker, by host: `drain`, `quarantine` or `release`. */
 inline constexpr std::string_view WORKER_PREFIX = "input/worker/";
 
-/** What an operator's statement decided about a failure domain, one of the two words. */
+/** Operators' decisions about a failure domain: EVACUATE_WORD or RELEASE_WORD. */
 inline constexpr std::string_view DOMAIN_PREFIX = "input/domain/";
 inline constexpr std::string_view EVACUATE_WORD = "evacuate";
 inline constexpr std::string_view RELEASE_WORD = "release";
 
-/** How far large work goes first, 0 to 100; written by an operator's statement. */
+/**
+ * TaskPlannerSettings::m_fragmentationWeight, 0 to 100: the degree to which large units are placed
+ * first. Written by an operator's statement.
+ */
 inline constexpr std::string_view WEIGHT_KEY = "input/weight";
 
-/** Changes by operators' statements, numbered. */
+/** Audit trail: changes made by operators' statements, by number. */
 inline constexpr std::string_view AUDIT_PREFIX = "audit/";
 
 inline std::string getJobKey(std::string_view id) {
--- a/libs/control/include/pierbank/control/WaveController.h
+++ b/libs/control/include/pierbank/control/WaveController.h
@@ -18,43 +18,51 @@
 
 namespace pierbank {
 
-/** What runs on a worker, as far as taking it down goes. */
+/** Whether taking down a worker would interrupt work, from the least to the most severe. */
 enum class WorkerLoad {
+    /** Nothing runs on the worker. */
     IDLE,
-    /** Work that would be lost, or begins again elsewhere. */
+    /** Work would be lost or restarted on another worker. */
     BUSY,
-    /** Tasks that must not be away just now: their step's promise would be broken. */
-    HELD,
+    /** The worker runs tasks of a step that bounds how many of its tasks may be unavailable. */
+    UNINTERRUPTIBLE,
 };
 
-/** The schedule, as a wave needs it. */
+/** The part of the schedule that upkeep waves depend on. */
 class WaveSchedule {
 public:
     virtual ~WaveSchedule() = default;
+    /** Returns the load of a worker, IDLE if the worker is unknown. @param worker its id. */
     virtual WorkerLoad getLoad(const std::string& worker) const = 0;
-    /** These workers get no new work, and what can moves off them. */
-    virtual void setLeaving(std::set<std::string, std::less<>> workers) = 0;
+    /** Replaces the set of workers, by id, that get no new work and that runs migrate from. */
+    virtual void setLeavingWorkers(std::set<std::string, std::less<>> workers) = 0;
 };
 
+/** Settings of a WaveController. */
 struct WaveControllerSettings {
+    /** This gateway's name as the holder of orders. */
     std::string m_node;
-    /** Time of one waiting watch of the waves. */
+    /** Duration of one long-polling watch call for waves. */
     Millis m_watchWait{10'000};
-    /** Between two looks at the machines while a wave is under way. */
+    /** Interval between polls of the machines while a wave is unfinished. */
     Millis m_pollInterval{500};
-    /** A worker is emptied for so long at most, and for this share of a machine's turn in its wave.
+    /**
+     * Maximum time for draining a worker before its upkeep, absolute and as a share of the time
+     * that the wave has for one batch of machines. The smaller limit applies.
      */
-    Millis m_emptyTime{6000};
-    double m_emptyShare = 0.5;
-    /** Pause before an order that was refused for now is given again; doubles up to the longest. */
-    Millis m_pause{500};
-    Millis m_longestPause{8000};
+    Millis m_maxDrainTime{6000};
+    double m_maxDrainShare = 0.5;
+    /** Delay before a refused order is repeated; doubles with each refusal up to the maximum. */
+    Millis m_minRetryDelay{500};
+    Millis m_maxRetryDelay{8000};
 };
 
 /**
- * The leader's part in upkeep waves: the operators ask that each machine of a list gets its upkeep
- * in time, with at most so many down at once. Machines are emptied before their turn as far as
- * there is time; which ones have begun is kept in the store, so that a successor takes none twice.
+ * Carries out upkeep waves while this gateway leads. In a wave, the operators request the upkeep of
+ * each machine of a list within a given time and with a limit on the machines that are down at
+ * once. Workers are drained before the upkeep of their machine as far as time permits. The store
+ * holds the machines whose upkeep has started, so that the next leader does not start it twice.
+ * Owned by JobCore; runs on the event loop only.
  */
 class WaveController {
 public:
@@ -65,41 +73,50 @@
     WaveController(const WaveController&) = delete;
     WaveController& operator=(const WaveController&) = delete;
 
+    /** Starts a term of leadership: loads the waves and continues them. */
     void lead(StoreRevision epoch);
+    /** Ends the term and discards its state; callbacks that are still pending are ignored. */
     void stepDown();
 
 private:
-    struct Turn {
-        /** Emptying began; zero: not yet its turn. */
-        Millis m_emptyingSince{0};
+    /** Preparation of one machine for its upkeep. */
+    struct MachineProgress {
+        /** When draining of its worker started; zero if it has not. */
+        Millis m_drainingSince{0};
         Millis m_retryAt{0};
-        Millis m_pause{0};
+        Millis m_retryDelay{0};
+        /** Whether an order is pending. */
         bool m_isOrdered = false;
     };
+    /** An upkeep wave and its progress. */
     struct Wave {
         WaveSpec m_spec;
         Millis m_seenAt{0};
-        std::set<std::string> m_begun;
-        std::map<std::string, Turn> m_turns;
+        /** Names of the machines whose upkeep has started. */
+        std::set<std::string> m_startedMachines;
+        std::map<std::string, MachineProgress> m_progress;
+        /** Store revision of the wave's state; zero if none is stored. */
         StoreRevision m_revision = 0;
         bool m_isDone = false;
-        bool m_isWriting = false;
-        bool m_mustWrite = true;
+        bool m_isPersisting = false;
+        /** Whether the state differs from what is stored or being written. */
+        bool m_isDirty = true;
     };
 
     void load();
     void watch();
-    void learn(const StoreItem& item);
+    void addWave(const StoreItem& item);
     void loadState(std::uint64_t number);
-    void look();
+    void pollMachines();
     void pollLater();
     void advance(Wave& wave, const std::map<std::string, Machine>& machines);
-    void takeTurn(Wave& wave, const Machine& machine);
+    void advanceMachine(Wave& wave, const Machine& machine);
     void handleOrdered(std::uint64_t number, const std::string& machine, MachineOrderStatus status);
-    Millis getEmptyTime(const Wave& wave) const;
-    void write(Wave& wave);
-    void handleWritten(std::uint64_t number, const StoreCommit& commit);
-    bool isAnyOpen() const;
+    Millis getMaxDrainTime(const Wave& wave) const;
+    void persist(Wave& wave);
+    void handlePersisted(std::uint64_t number, const StoreCommit& commit);
+    bool hasUnfinishedWaves() const;
+    /** Wraps a task so that it does nothing once the current term has ended. */
     std::function<void()> guarded(std::function<void()> task);
 
     RecordStore& m_store;
@@ -111,9 +128,9 @@
     StoreRevision m_epoch = 0;
     StoreRevision m_watchedTo = 0;
     std::map<std::uint64_t, Wave> m_waves;
-    std::set<std::string, std::less<>> m_leaving;
+    std::set<std::string, std::less<>> m_leavingWorkers;
     TimerId m_pollTimer = TimerId::NONE;
-    /** Replaced with each term of leadership. */
+    /** Replaced with each term of leadership, so that callbacks of earlier terms are ignored. */
     std::shared_ptr<bool> m_term;
 };
 
--- a/libs/control/src/JobController.cpp
+++ b/libs/control/src/JobController.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-/** How often due occurrences and pauses that are over are looked for. */
-constexpr Millis TICK{100};
+/** Interval at which a step is scheduled for due occurrences and ended delays. */
+constexpr Millis TICK_INTERVAL{100};
 
 }  // namespace
 
@@ -29,10 +29,10 @@
           m_workers(transport, loop, *this, std::move(workers)),
           m_health(m_settings.m_health),
           m_demand(m_settings.m_demand),
-          m_advice(loop, advisor),
+          m_ticketCache(loop, advisor),
           m_evacuations(store, loop, m_settings.m_evacuations),
-          m_weight(m_settings.m_planner.m_fragmentationWeight) {
-    m_advice.onTicketsChanged([this] { stepSoon(); });
+          m_currentFragmentationWeight(m_settings.m_planner.m_fragmentationWeight) {
+    m_ticketCache.onTicketsChanged([this] { invalidatePlan(); });
     m_evacuations.onChange([this] { handleEvacuations(); });
 }
 
@@ -69,11 +69,11 @@
     m_statementEvacuations.clear();
     m_workers.stop();
     m_jobs.clear();
-    m_ledger.clear();
+    m_persistedEnds.clear();
     m_reports.clear();
     m_isPlanStale = true;
     m_areSnapshotsStale = true;
-    m_waiting = 0;
+    m_waitingUnits = 0;
     m_urgentWaiting.clear();
     m_earlyCancels.clear();
     m_health.clear();
@@ -81,12 +81,12 @@
     m_demand.clear();
     m_progress.clear();
     m_speeds.clear();
-    m_advice.clear();
+    m_ticketCache.clear();
     m_adminStates.clear();
-    m_unreadable.clear();
-    m_judged.clear();
-    m_openHosts.clear();
-    m_leaving.clear();
+    m_unreadableRuns.clear();
+    m_classifiedIncarnations.clear();
+    m_hostsWithUnresolvedLosses.clear();
+    m_leavingWorkers.clear();
 }
 
 void JobController::abandonLeadership(std::string_view why) {
@@ -99,17 +99,17 @@
 std::string JobController::getNote(const std::string& job) const {
     std::vector<AdvisedWorkers> advised;
     std::string text;
-    for (const PlanExplanation& note : makePlan(listJobs(advised), true).m_explanations) {
-        if (note.m_job == job) {
-            text = note.m_text;
+    for (const PlanExplanation& explanation : makePlan(listJobs(advised), true).m_explanations) {
+        if (explanation.m_job == job) {
+            text = explanation.m_text;
         }
     }
     return text;
 }
 
-// Deciding.
+// Scheduling and running steps.
 
-void JobController::stepSoon() {
+void JobController::invalidatePlan() {
     m_isPlanStale = true;
     scheduleStep();
 }
@@ -124,6 +124,10 @@
                                    }));
 }
 
+/**
+ * Applies cancels and due occurrences, plans if a plan is due, and commits. While a transaction is
+ * pending, handleCommitted() runs the step instead.
+ */
 void JobController::step() {
     if (m_isCommitting) {
         return;
@@ -131,16 +135,17 @@
     applyCancels();
     addOccurrences();
     if (isPlanDue()) {
-        moveStalled();
+        stopStalledRuns();
         plan();
     } else if (m_isPlanStale) {
-        planLater();
+        schedulePlan();
     }
     commitDirty();
 }
 
-void JobController::planLater() {
-    const Millis wait = m_pace.getNextAt() - m_loop.now();
+/** Schedules a step for when the plan throttle permits the next plan. */
+void JobController::schedulePlan() {
+    const Millis wait = m_planThrottle.getNextAt() - m_loop.now();
     if (wait <= Millis(0) || m_planTimer != TimerId::NONE) {
         return;
     }
@@ -150,13 +155,16 @@
                                    }));
 }
 
-/** Not before the evacuations are known: a plan made without would place work there. */
+/**
+ * Never true without a recent list of evacuations: the plan could place work in evacuated failure
+ * domains.
+ */
 bool JobController::isPlanDue() const {
-    if (!m_evacuations.isCertain() || m_loop.now() < m_pace.getNextAt()) {
+    if (!m_evacuations.isCertain() || m_loop.now() < m_planThrottle.getNextAt()) {
         return false;
     }
     const Millis interval =
-            m_waiting > 0 ? m_settings.m_planInterval : m_settings.m_idlePlanInterval;
+            m_waitingUnits > 0 ? m_settings.m_planInterval : m_settings.m_idlePlanInterval;
     return m_isPlanStale || m_loop.now() - m_plannedAt >= interval;
 }
 
@@ -170,7 +178,7 @@
         m_isPlanStale = true;
         logEvent(Severity::INFO, "jobs", "withdrawn",
                  {{"job", id}, {"running_tasks", std::to_string(runs.size())}});
-        stopRuns(entry, runs);
+        queueStops(entry, runs);
     }
 }
 
@@ -186,27 +194,27 @@
 void JobController::plan() {
     requestTickets();
     std::vector<AdvisedWorkers> advised;
-    const Millis begunAt = m_loop.now();
+    const Millis startedAt = m_loop.now();
     const TaskPlan plan = makePlan(listJobs(advised), false);
     m_isPlanStale = false;
-    m_waiting = plan.m_waiting;
+    m_waitingUnits = plan.m_waiting;
     m_plannedAt = m_loop.now();
-    m_pace.recordPlan(begunAt, m_plannedAt);
-    notePlanTime(m_plannedAt - begunAt, plan);
-    noteUrgentWaits(plan);
+    m_planThrottle.recordPlan(startedAt, m_plannedAt);
+    recordPlanTime(m_plannedAt - startedAt, plan);
+    logUrgentWaits(plan);
     place(plan.m_placements);
     for (const Placement& copy : plan.m_copies) {
-        placeCopy(copy);
+        placeSpeculativeCopy(copy);
     }
-    for (const Stop& one : plan.m_stops) {
-        stop(one);
+    for (const Stop& plannedStop : plan.m_stops) {
+        stop(plannedStop);
     }
 }
 
-void JobController::notePlanTime(Millis took, const TaskPlan& plan) {
+void JobController::recordPlanTime(Millis took, const TaskPlan& plan) {
     ++m_statistics.m_plans;
     m_statistics.m_planTime.add(took);
-    if (took <= m_settings.m_slowPlan) {
+    if (took <= m_settings.m_slowPlanThreshold) {
         return;
     }
     logEvent(Severity::WARNING, "jobs", "slow-plan",
@@ -218,13 +226,13 @@
               {"waiting", std::to_string(plan.m_waiting)}});
 }
 
-/** One line each time that an urgent job begins to wait, or for something else. */
-void JobController::noteUrgentWaits(const TaskPlan& plan) {
+/** Logs when an urgent job starts to wait and when the cause of its wait changes. */
+void JobController::logUrgentWaits(const TaskPlan& plan) {
     std::set<std::string, std::less<>> waiting;
     for (const UrgentWait& wait : plan.m_urgentWaits) {
         waiting.emplace(wait.m_job);
         JobEntry& entry = m_jobs.find(wait.m_job)->second;
-        if (std::exchange(entry.m_waitsFor, wait.m_cause) == wait.m_cause) {
+        if (std::exchange(entry.m_waitCause, wait.m_cause) == wait.m_cause) {
             continue;
         }
         logEvent(Severity::INFO, "jobs", "waits",
@@ -238,16 +246,16 @@
     for (const std::string& id : m_urgentWaiting) {
         const auto found = m_jobs.find(id);
         if (waiting.count(id) == 0 && found != m_jobs.end()) {
-            found->second.m_waitsFor.reset();
+            found->second.m_waitCause.reset();
         }
     }
     m_urgentWaiting = std::move(waiting);
 }
 
-// Workers that are emptied.
+// Workers that are drained or quarantined.
 
-std::string_view toText(WorkerAdminState hold) {
-    switch (hold) {
+std::string_view toText(WorkerAdminState state) {
+    switch (state) {
         case WorkerAdminState::RELEASE:
             return "release";
         case WorkerAdminState::QUARANTINE:
@@ -263,13 +271,14 @@
     return found == m_adminStates.end() ? WorkerAdminState::RELEASE : found->second;
 }
 
-/** @return null when no host that is known has a worker of this id. */
+/** @return the host of the worker with this id, or null if no known host has it. */
 const std::string* JobController::findHostOf(std::string_view worker) const {
-    const auto& views = getWorkerSnapshots();
-    const auto found = std::find_if(views.begin(), views.end(), [&](const WorkerSnapshot& view) {
-        return getWorkerIdOf(view.m_id.m_incarnation) == worker;
-    });
-    return found == views.end() ? nullptr : &found->m_id.m_host;
+    const auto& snapshots = getWorkerSnapshots();
+    const auto found =
+            std::find_if(snapshots.begin(), snapshots.end(), [&](const WorkerSnapshot& snapshot) {
+                return getWorkerIdOf(snapshot.m_id.m_incarnation) == worker;
+            });
+    return found == snapshots.end() ? nullptr : &found->m_id.m_host;
 }
 
 WorkerLoad JobController::getLoad(const std::string& worker) const {
@@ -283,30 +292,31 @@
             if (getWorkerIdOf(run.m_worker.m_incarnation) != worker || !entry.m_hasInput) {
                 continue;
             }
-            const bool isHeld =
+            const bool isUninterruptible =
                     entry.m_record.m_spec.m_steps[run.m_task.m_step].m_maxUnavailable > 0;
-            load = std::max(load, isHeld ? WorkerLoad::HELD : WorkerLoad::BUSY);
+            load = std::max(load,
+                            isUninterruptible ? WorkerLoad::UNINTERRUPTIBLE : WorkerLoad::BUSY);
         }
     }
     return load;
 }
 
-void JobController::setLeaving(std::set<std::string, std::less<>> workers) {
-    if (m_leaving != workers) {
-        m_leaving = std::move(workers);
-        stepSoon();
+void JobController::setLeavingWorkers(std::set<std::string, std::less<>> workers) {
+    if (m_leavingWorkers != workers) {
+        m_leavingWorkers = std::move(workers);
+        invalidatePlan();
     }
 }
 
 bool JobController::isLeaving(std::string_view incarnation) const {
-    return !m_leaving.empty() && m_leaving.count(getWorkerIdOf(incarnation)) != 0;
+    return !m_leavingWorkers.empty() && m_leavingWorkers.count(getWorkerIdOf(incarnation)) != 0;
 }
 
 void JobController::tick() {
     removeFinishedJobs();
     resendLostOrders();
     scheduleStep();
-    m_loop.callLater(TICK, guarded([this] { tick(); }));
+    m_loop.callLater(TICK_INTERVAL, guarded([this] { tick(); }));
 }
 
 }  // namespace pierbank
--- a/libs/control/src/JobControllerCommits.cpp
+++ b/libs/control/src/JobControllerCommits.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// How a JobController's decisions get into the store.
+// Commits a JobController's decisions to the store.
 #include <algorithm>
 #include <utility>
 
@@ -9,18 +9,22 @@
 
 namespace pierbank {
 
+/**
+ * Adds a job's run, and the removal of the input of a finished job, to a transaction.
+ * @return false if the transaction has too little space left.
+ */
 bool JobController::addToTransaction(const std::string& id, JobEntry& entry,
                                      StoreTransaction& transaction) {
-    const bool endsInput = entry.m_run.isFinished() && entry.m_hasInput && entry.m_run.isIdle();
-    constexpr std::size_t ENTRIES = 2;
-    constexpr std::size_t ENTRIES_AT_END = 4;
-    if (transaction.countEntries() + (endsInput ? ENTRIES_AT_END : ENTRIES) >
+    const bool removesInput = entry.m_run.isFinished() && entry.m_hasInput && entry.m_run.isIdle();
+    constexpr std::size_t ENTRIES_PER_JOB = 2;
+    constexpr std::size_t ENTRIES_PER_FINISHED_JOB = 4;
+    if (transaction.countEntries() + (removesInput ? ENTRIES_PER_FINISHED_JOB : ENTRIES_PER_JOB) >
         RecordStore::MAX_ENTRIES) {
         return false;
     }
     transaction.m_conditions.push_back({getRunKey(id), entry.m_runRevision});
     transaction.m_puts.push_back({getRunKey(id), encodeJobRun(entry.m_run), 0});
-    if (endsInput) {
+    if (removesInput) {
         transaction.m_removals.push_back(getJobKey(id));
         transaction.m_removals.push_back(getCancelKey(id));
         entry.m_hasInput = false;
@@ -28,6 +32,10 @@
     return true;
 }
 
+/**
+ * Commits the changed jobs, highest priority first; jobs beyond the maximum size of a transaction
+ * follow in the next one.
+ */
 void JobController::commitDirty() {
     StoreTransaction transaction;
     transaction.m_conditions = {{std::string(LEADER_KEY), m_epoch}};
@@ -53,15 +61,15 @@
     }
     m_isCommitting = true;
     ++m_statistics.m_commits;
-    CommitRetryPolicy patience;
-    patience.m_retriesRefusals = true;
-    // What is decided while the transaction is under way has to wait for the next one.
+    CommitRetryPolicy retryPolicy;
+    retryPolicy.m_retriesRefusals = true;
+    // Messages and ends that are added while this transaction is pending belong to the next one.
     for (const std::string& id : ids) {
         JobEntry& entry = m_jobs.find(id)->second;
-        entry.m_messagesUnderWay = std::exchange(entry.m_messages, {});
-        entry.m_endsUnderWay = std::exchange(entry.m_ends, {});
+        entry.m_committingMessages = std::exchange(entry.m_pendingMessages, {});
+        entry.m_committingEnds = std::exchange(entry.m_endsToPersist, {});
     }
-    CommitResolver::run(m_store, m_loop, std::move(transaction), patience, m_term,
+    CommitResolver::run(m_store, m_loop, std::move(transaction), retryPolicy, m_term,
                         [this, ids](const StoreCommit& commit) { handleCommitted(ids, commit); });
 }
 
@@ -69,7 +77,7 @@
                                     const StoreCommit& commit) {
     m_isCommitting = false;
     if (commit.m_status != StoreStatus::OK) {
-        abandonLeadership("the store did not take a decision: " +
+        abandonLeadership("a decision could not be committed: " +
                           std::string(toText(commit.m_status)) + " " + commit.m_reason);
         return;
     }
@@ -77,34 +85,41 @@
         JobEntry& entry = m_jobs.find(id)->second;
         entry.m_isCommitting = false;
         entry.m_runRevision = commit.m_revision;
-        for (const PendingMessage& message : std::exchange(entry.m_messagesUnderWay, {})) {
-            sendDecided(message);
+        for (const PendingMessage& message : std::exchange(entry.m_committingMessages, {})) {
+            sendCommitted(message);
         }
-        for (const auto& [worker, number] : std::exchange(entry.m_endsUnderWay, {})) {
-            m_ledger.markPersisted(worker, number);
+        for (const auto& [worker, number] : std::exchange(entry.m_committingEnds, {})) {
+            m_persistedEnds.markPersisted(worker, number);
             sendEndsPersisted(worker);
         }
     }
     step();
 }
 
+/**
+ * Sends a worker the number up to which its ends are persisted, if its last report still lists any
+ * of these ends.
+ */
 void JobController::sendEndsPersisted(const WorkerId& worker) {
-    const std::uint64_t kept = m_ledger.getPersisted(worker);
+    const std::uint64_t persisted = m_persistedEnds.getPersisted(worker);
     const auto report = m_reports.find(worker.m_host);
-    if (kept == 0 || report == m_reports.end() ||
+    if (persisted == 0 || report == m_reports.end() ||
         report->second.m_report.m_incarnation != worker.m_incarnation) {
         return;
     }
     const auto& ended = report->second.m_report.m_ended;
-    const bool isListed = std::any_of(ended.begin(), ended.end(), [kept](const EndedEntry& end) {
-        return end.m_number <= kept;
-    });
+    const bool isListed =
+            std::any_of(ended.begin(), ended.end(),
+                        [persisted](const EndedEntry& end) { return end.m_number <= persisted; });
     if (isListed) {
-        m_workers.send(worker.m_host, EndsPersisted{worker.m_incarnation, kept});
+        m_workers.send(worker.m_host, EndsPersisted{worker.m_incarnation, persisted});
     }
 }
 
-/** Jobs that have been over for long go, a few at a time. */
+/**
+ * Removes jobs that have been finished for longer than the retention, at most one transaction of
+ * them per call.
+ */
 void JobController::removeFinishedJobs() {
     StoreTransaction transaction;
     transaction.m_conditions = {{std::string(LEADER_KEY), m_epoch}};
@@ -125,21 +140,22 @@
     for (const std::string& id : ids) {
         m_jobs.erase(id);
     }
-    // If it is lost, the next leader does it again.
-    constexpr Millis PATIENCE{1000};
-    m_store.commit(transaction, PATIENCE, [](const StoreCommit&) {});
+    // The result is not needed: if the commit fails, the next leader repeats the removal.
+    constexpr Millis COMMIT_TIMEOUT{1000};
+    m_store.commit(transaction, COMMIT_TIMEOUT, [](const StoreCommit&) {});
 }
 
+/** Discards the state of a host that has been unreachable for too long, and its registration. */
 void JobController::handleHostExpired(const std::string& host) {
     m_reports.erase(host);
-    acquit(host, "");
+    discardUnresolvedLossesOn(host, "");
     m_areSnapshotsStale = true;
     StoreTransaction transaction;
     transaction.m_conditions = {{std::string(LEADER_KEY), m_epoch}};
     transaction.m_removals = {getHostKey(host), getGatewayKey(host)};
-    // If it is lost, the next leader does it again.
-    constexpr Millis PATIENCE{1000};
-    m_store.commit(transaction, PATIENCE, [](const StoreCommit&) {});
+    // The result is not needed: if the commit fails, the next leader repeats the removal.
+    constexpr Millis COMMIT_TIMEOUT{1000};
+    m_store.commit(transaction, COMMIT_TIMEOUT, [](const StoreCommit&) {});
 }
 
 }  // namespace pierbank
--- a/libs/control/src/JobControllerEvacuations.cpp
+++ b/libs/control/src/JobControllerEvacuations.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// How a JobController keeps failure domains under evacuation empty.
+// Keeps evacuated failure domains free of new runs.
 #include <utility>
 
 #include "pierbank/base/Log.h"
@@ -18,9 +18,9 @@
 }
 
 bool JobController::isHostEvacuated(const std::string& host) const {
-    const WorkerPool::Host* const known = m_workers.findHost(host);
-    return known != nullptr && known->m_notice.has_value() &&
-           isEvacuated(known->m_notice->m_failureDomain);
+    const WorkerPool::Host* const poolHost = m_workers.findHost(host);
+    return poolHost != nullptr && poolHost->m_notice.has_value() &&
+           isEvacuated(poolHost->m_notice->m_failureDomain);
 }
 
 void JobController::updateDomain(const std::string& domain, std::string_view word) {
@@ -39,8 +39,9 @@
 }
 
 /**
- * The list of evacuations has changed, or is known again. What was not sent while it was not known
- * goes out now.
+ * Called when the list of evacuations has changed or is certain again. Sends the orders that were
+ * withheld while the list was uncertain, and schedules the revocation of runs that have not
+ * started.
  */
 void JobController::handleEvacuations() {
     for (const auto& [host, report] : m_reports) {
@@ -54,13 +55,13 @@
                                              revokeUnstarted();
                                          }));
     }
-    stepSoon();
+    invalidatePlan();
 }
 
 /**
- * Runs that were ordered before the evacuation became known, and that no report shows yet, may
- * begin at any time: an order got lost and would be sent again, a sidecar holds one that its worker
- * has not answered, a link is down.
+ * Revokes the runs in evacuated failure domains that no report lists. Such runs were ordered before
+ * the evacuation became known and could still start at any time: a lost order would be sent again,
+ * a sidecar may have an order that its worker has not answered, or a link may be down.
  */
 void JobController::revokeUnstarted() {
     for (auto& [id, entry] : m_jobs) {
@@ -69,18 +70,19 @@
         }
         for (const ActiveRun& run : listActiveRuns(id, entry.m_run)) {
             const auto report = m_reports.find(run.m_worker.m_host);
-            const bool hasBegun =
-                    report != m_reports.end() && isShown(run, report->second.m_report);
-            if (!run.m_isStopping && !hasBegun && isHostEvacuated(run.m_worker.m_host)) {
+            const bool hasBeenReported =
+                    report != m_reports.end() && isInReport(run, report->second.m_report);
+            if (!run.m_isStopping && !hasBeenReported && isHostEvacuated(run.m_worker.m_host)) {
                 revoke(entry, run);
             }
         }
     }
 }
 
+/** Stops a run that has not started, and counts it as revoked. */
 void JobController::revoke(JobEntry& entry, const ActiveRun& run) {
-    const auto held = entry.m_run.findActiveRun(run.m_task, run.m_run);
-    if (!held.has_value() || held->m_isStopping) {
+    const auto activeRun = entry.m_run.findActiveRun(run.m_task, run.m_run);
+    if (!activeRun.has_value() || activeRun->m_isStopping) {
         return;
     }
     ++m_statistics.m_revoked;
@@ -89,11 +91,12 @@
 }
 
 /**
- * Sends what waited for its commit. The evacuation may have become known meanwhile, or the list be
- * too old by now: a commit that the store did not answer is repeated for seconds. An order that is
- * kept back for its age goes out when the list is known again.
+ * Sends a message whose decision has been committed. A commit that the store does not answer is
+ * retried for seconds, so the target may have come under evacuation since the decision, and the
+ * order is then revoked. If the list of evacuations has become too old, the order is withheld until
+ * handleEvacuations() sends it.
  */
-void JobController::sendDecided(const PendingMessage& message) {
+void JobController::sendCommitted(const PendingMessage& message) {
     const auto* const order = std::get_if<RunOrder>(&message.m_frame);
     if (order == nullptr) {
         m_workers.send(message.m_host, message.m_frame);
@@ -102,9 +105,9 @@
     if (isHostEvacuated(message.m_host)) {
         const auto key = TaskKey::parse(order->m_task);
         JobEntry& entry = m_jobs.find(key->m_job)->second;
-        const auto held = entry.m_run.findActiveRun(*key, order->m_run);
-        if (held.has_value()) {
-            revoke(entry, *held);
+        const auto activeRun = entry.m_run.findActiveRun(*key, order->m_run);
+        if (activeRun.has_value()) {
+            revoke(entry, *activeRun);
         }
     } else if (m_evacuations.isCertain()) {
         m_workers.send(message.m_host, message.m_frame);
--- a/libs/control/src/JobControllerGateways.cpp
+++ b/libs/control/src/JobControllerGateways.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// What a JobController tells the gateways that follow.
+// Answers the gateways that do not lead.
 #include <algorithm>
 #include <utility>
 
@@ -17,14 +17,17 @@
     });
 }
 
-/** Gateways that are linked do not watch the configuration themselves. */
+/**
+ * Sends the changed configuration's revision to the linked gateways, since these do not watch the
+ * configuration themselves.
+ */
 void JobController::handleConfiguration() {
-    stepSoon();
+    invalidatePlan();
     if (!m_isLeading) {
         return;
     }
-    constexpr std::uint64_t UNASKED = 0;
-    const GatewayReply reply = makeGatewayReply(UNASKED);
+    constexpr std::uint64_t UNSOLICITED = 0;
+    const GatewayReply reply = makeGatewayReply(UNSOLICITED);
     for (const auto& [address, host] : m_workers.getHosts()) {
         if (host.m_fitness.has_value()) {
             m_workers.send(address, reply);
@@ -32,20 +35,24 @@
     }
 }
 
-void JobController::handleGatewayQuery(const std::string& host, const GatewayQuery& ask) {
-    GatewayReply reply = makeGatewayReply(ask.m_number);
-    if (ask.m_wantsPending && isLeadershipConfirmed()) {
+void JobController::handleGatewayQuery(const std::string& host, const GatewayQuery& query) {
+    GatewayReply reply = makeGatewayReply(query.m_number);
+    if (query.m_wantsPending && isLeadershipConfirmed()) {
         reply.m_knowsPending = true;
         reply.m_pending = countPending();
     }
     m_workers.send(host, reply);
 }
 
-/** A successor may know of jobs that this gateway does not, as soon as its lease may be over. */
+/**
+ * False as soon as this gateway's lease may have expired: the next leader may then have jobs that
+ * this gateway does not know.
+ */
 bool JobController::isLeadershipConfirmed() const {
     return m_isLoaded && m_loop.now() - m_getConfirmedAt() <= m_settings.m_maxConfirmationAge;
 }
 
+/** @return the number of accepted jobs that have not started, by queue; timed jobs do not count. */
 std::vector<PendingEntry> JobController::countPending() const {
     std::map<std::string, std::uint64_t> counts;
     for (const auto& [id, entry] : m_jobs) {
@@ -62,9 +69,10 @@
     return pending;
 }
 
-GatewayReply JobController::makeGatewayReply(std::uint64_t question) const {
+/** @param queryNumber number of the query that is answered; zero for none. */
+GatewayReply JobController::makeGatewayReply(std::uint64_t queryNumber) const {
     GatewayReply reply;
-    reply.m_number = question;
+    reply.m_number = queryNumber;
     const auto age = m_configuration.getAge();
     if (age.has_value()) {
         reply.m_revision = m_configuration.getRevision();
--- a/libs/control/src/JobControllerLosses.cpp
+++ b/libs/control/src/JobControllerLosses.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Runs that are lost with their workers, and what a JobController makes of it.
+// Handles runs that are lost with their workers.
 #include <algorithm>
 #include <utility>
 
@@ -21,16 +21,16 @@
 }
 
 template <typename Function>
-void JobController::forEachOpenLoss(Function function) {
+void JobController::forEachUnresolvedLoss(Function function) {
     for (auto& [id, entry] : m_jobs) {
         if (entry.m_run.isFinished()) {
             continue;
         }
         forEachTask(id, entry.m_run, [&, &entry = entry](const TaskKey& key, TaskRun& task) {
-            // A copy: what is done about one may take it off the list.
-            const std::vector<RunLoss> known(task.m_losses.list().begin(),
-                                             task.m_losses.list().end());
-            for (const RunLoss& loss : known) {
+            // A copy, since the function may remove losses from the list.
+            const std::vector<RunLoss> losses(task.m_losses.list().begin(),
+                                              task.m_losses.list().end());
+            for (const RunLoss& loss : losses) {
                 if (loss.m_category == LossCategory::UNRESOLVED) {
                     function(entry, key, loss);
                 }
@@ -40,12 +40,13 @@
 }
 
 void JobController::handleHostLost(const std::string& host) {
-    loseRuns(host, "", LossCause::LEASE_LAPSED);
-    stepSoon();
+    releaseLostRuns(host, "", LossCause::LEASE_LAPSED);
+    invalidatePlan();
 }
 
 namespace {
 
+/** @return the notice's crash of an incarnation, or null. */
 const WorkerCrash* findCrash(const WorkerNotice& notice, const std::string& incarnation) {
     const auto found = std::find_if(
             notice.m_crashes.begin(), notice.m_crashes.end(),
@@ -56,40 +57,44 @@
 }  // namespace
 
 /**
- * What was committed to other lives of the host's worker runs no more. Each loss stays in the job's
- * record: with a run that just went back to waiting, a task that crashes its workers was started 27
- * times in 81 s.
+ * Releases the runs of the host's worker that belong to other incarnations than
+ * `exceptIncarnation`, all runs if that is empty. Each loss is recorded in the job: without a
+ * record, a task that crashes its workers is started again and again, every few seconds.
  */
-void JobController::loseRuns(const std::string& host, const std::string& exceptIncarnation,
-                             LossCause cause) {
+void JobController::releaseLostRuns(const std::string& host, const std::string& exceptIncarnation,
+                                    LossCause cause) {
     for (auto& [id, entry] : m_jobs) {
         for (const ActiveRun& run : listActiveRunsOn(host, id, entry.m_run)) {
             if (!exceptIncarnation.empty() && run.m_worker.m_incarnation == exceptIncarnation) {
                 continue;
             }
             ++m_statistics.m_lost;
-            const Millis ran = m_loop.wallNow() - run.m_placedAt;
+            const Millis runTime = m_loop.wallNow() - run.m_placedAt;
             logEvent(Severity::WARNING, "jobs", "run-lost",
                      {{"task", run.m_task.toText()},
                       {"run", std::to_string(run.m_run)},
                       {"host", host},
                       {"life", run.m_worker.m_incarnation},
-                      {"ran_ms", std::to_string(ran.count())},
-                      {"cores", std::to_string(getWeight(entry.m_record, run.m_task))},
+                      {"ran_ms", std::to_string(runTime.count())},
+                      {"cores", std::to_string(getRoundedCores(entry.m_record, run.m_task))},
                       {"reason", std::string(toText(cause))}});
             if (const auto category = classifyLoss(entry, run, cause)) {
-                recordLoss(entry, run.m_task, {run.m_worker, run.m_run, *category, ran});
+                recordLoss(entry, run.m_task, {run.m_worker, run.m_run, *category, runTime});
             } else if (cause == LossCause::OTHER_INCARNATION && neverStarted(run)) {
                 entry.m_run.findTask(run.m_task)->m_losses.recordNeverStarted(run.m_run);
             }
-            takeEffect(entry, applyNotRunning(entry.m_record, entry.m_run, run.m_task, run.m_run,
-                                              m_loop.wallNow()));
-            takeEffect(entry, failIfProvenFaulty(entry.m_run, run.m_task, m_loop.wallNow()));
+            applyEffect(entry, applyNotRunning(entry.m_record, entry.m_run, run.m_task, run.m_run,
+                                               m_loop.wallNow()));
+            applyEffect(entry, failIfProvenFaulty(entry.m_run, run.m_task, m_loop.wallNow()));
         }
     }
 }
 
-/** @return nothing for a loss that speaks against nobody, or was judged already. */
+/**
+ * Returns the category of a loss. Returns nothing if the loss is no evidence against a task or a
+ * host (the worker had left or was leaving, or a start or stop of the run was still to be sent),
+ * and if classifyCrash() handles the loss with the crash of the worker.
+ */
 std::optional<LossCategory> JobController::classifyLoss(const JobEntry& entry, const ActiveRun& run,
                                                         LossCause cause) const {
     const WorkerPool::Host* const host = m_workers.findHost(run.m_worker.m_host);
@@ -102,11 +107,14 @@
     if (cause == LossCause::LEASE_LAPSED) {
         return LossCategory::UNRESOLVED;
     }
-    const bool isJudged = findCrash(*host->m_notice, run.m_worker.m_incarnation) != nullptr;
-    return isJudged ? std::nullopt : std::optional(LossCategory::HOST_LOST);
+    const bool hasCrashReport = findCrash(*host->m_notice, run.m_worker.m_incarnation) != nullptr;
+    return hasCrashReport ? std::nullopt : std::optional(LossCategory::HOST_LOST);
 }
 
-/** The sidecar tells of each run whose start went out to a worker that crashed. */
+/**
+ * Returns whether a run surely had not started on a worker that crashed: the sidecar's report of
+ * the crash lists each run whose start was sent to the worker.
+ */
 bool JobController::neverStarted(const ActiveRun& run) const {
     const WorkerPool::Host* const host = m_workers.findHost(run.m_worker.m_host);
     const WorkerCrash* const crash =
@@ -115,14 +123,16 @@
                     : findCrash(*host->m_notice, run.m_worker.m_incarnation);
     const std::string name = run.m_task.toText();
     return crash != nullptr && std::none_of(crash->m_runs.begin(), crash->m_runs.end(),
-                                            [&](const CrashedRunEntry& one) {
-                                                return one.m_run == run.m_run && one.m_task == name;
+                                            [&](const CrashedRunEntry& crashedRun) {
+                                                return crashedRun.m_run == run.m_run &&
+                                                       crashedRun.m_task == name;
                                             });
 }
 
+/** Classifies the crashes that have not been classified in this term; notices repeat them. */
 void JobController::classifyCrashes(const std::string& host, const WorkerNotice& notice) {
     for (const WorkerCrash& crash : notice.m_crashes) {
-        if (m_judged.insert(crash.m_incarnation).second) {
+        if (m_classifiedIncarnations.insert(crash.m_incarnation).second) {
             classifyCrash(host, crash);
         }
     }
@@ -133,7 +143,10 @@
     return found == m_jobs.end() ? nullptr : found->second.m_run.findTask(key);
 }
 
-/** The verdict may come long after the run was released, and under another leader. */
+/**
+ * Records a category for each run that was on the crashed worker. The crash may be reported long
+ * after its runs were released, and to another leader than the one that released them.
+ */
 void JobController::classifyCrash(const std::string& host, const WorkerCrash& crash) {
     std::vector<CrashedRun> runs;
     for (const CrashedRunEntry& entry : crash.m_runs) {
@@ -145,19 +158,23 @@
                             wasSuspect});
         }
     }
-    const std::vector<LossCategory> verdicts = pierbank::classifyCrash(runs);
+    const std::vector<LossCategory> categories = pierbank::classifyCrash(runs);
     for (std::size_t i = 0; i < runs.size(); ++i) {
         const CrashedRun& run = runs[i];
         const TaskRun* const task = findTask(run.m_task);
         if (task != nullptr && task->m_state != TaskState::DONE && run.m_run <= task->m_lastRun) {
             const LossCategory category =
-                    crash.m_wasLeaving ? LossCategory::BYSTANDER : verdicts[i];
+                    crash.m_wasLeaving ? LossCategory::BYSTANDER : categories[i];
             recordLoss(m_jobs.find(run.m_task.m_job)->second, run.m_task,
                        {{host, crash.m_incarnation}, run.m_run, category, run.m_ran});
         }
     }
 }
 
+/**
+ * Adds a loss to a task's record, or changes its category, and fails the job if the losses prove
+ * the task's fault.
+ */
 void JobController::recordLoss(JobEntry& entry, const TaskKey& key, const RunLoss& loss) {
     TaskRun* const task = entry.m_run.findTask(key);
     if (task == nullptr || entry.m_run.isFinished() || !task->m_losses.record(loss)) {
@@ -165,7 +182,7 @@
     }
     entry.m_isDirty = true;
     if (loss.m_category == LossCategory::UNRESOLVED) {
-        m_openHosts.insert(loss.m_worker.m_host);
+        m_hostsWithUnresolvedLosses.insert(loss.m_worker.m_host);
     }
     logEvent(Severity::WARNING, "jobs", "loss-judged",
              {{"task", key.toText()},
@@ -175,66 +192,78 @@
               {"ran_ms", std::to_string(loss.m_ran.count())},
               {"verdict", std::string(toText(loss.m_category))},
               {"losses", std::to_string(task->m_losses.list().size())}});
-    takeEffect(entry, failIfProvenFaulty(entry.m_run, key, m_loop.wallNow()));
+    applyEffect(entry, failIfProvenFaulty(entry.m_run, key, m_loop.wallNow()));
 }
 
-/** An open loss turns out to be none. */
-void JobController::forgetOpenLoss(JobEntry& entry, const TaskKey& key, const RunLoss& loss) {
+/** Removes an unresolved loss that has turned out not to be one. */
+void JobController::discardUnresolvedLoss(JobEntry& entry, const TaskKey& key,
+                                          const RunLoss& loss) {
     entry.m_run.findTask(key)->m_losses.discardUnresolved(loss.m_worker);
     entry.m_isDirty = true;
 }
 
-/** Another life answers: what became of the former one is known as far as it ever will be. */
-void JobController::settleOpenLosses(const std::string& host, const WorkerNotice& notice) {
-    if (m_openHosts.count(host) == 0) {
+/**
+ * Resolves the unresolved losses of the previous incarnations of a host's worker. The notice of
+ * another incarnation contains all that will ever be known about them.
+ */
+void JobController::resolveLosses(const std::string& host, const WorkerNotice& notice) {
+    if (m_hostsWithUnresolvedLosses.count(host) == 0) {
         return;
     }
-    const std::string leaving = m_workers.findHost(host)->m_leavingIncarnation;
-    bool isOpen = false;
-    forEachOpenLoss([&](JobEntry& entry, const TaskKey& key, RunLoss loss) {
+    const std::string leavingIncarnation = m_workers.findHost(host)->m_leavingIncarnation;
+    bool hasUnresolved = false;
+    forEachUnresolvedLoss([&](JobEntry& entry, const TaskKey& key, RunLoss loss) {
         const std::string& incarnation = loss.m_worker.m_incarnation;
         if (loss.m_worker.m_host != host) {
             return;
         }
         if (incarnation == notice.m_incarnation) {
-            isOpen = true;
-        } else if (incarnation == leaving || findCrash(notice, incarnation) != nullptr) {
-            // A crash that is told without the run: it had not begun there.
-            forgetOpenLoss(entry, key, loss);
+            hasUnresolved = true;
+        } else if (incarnation == leavingIncarnation || findCrash(notice, incarnation) != nullptr) {
+            // The incarnation left in an orderly way, or the report of its crash does not list the
+            // run, which therefore had not started.
+            discardUnresolvedLoss(entry, key, loss);
         } else {
             loss.m_category = LossCategory::HOST_LOST;
             recordLoss(entry, key, loss);
         }
     });
-    if (!isOpen) {
-        m_openHosts.erase(host);
+    if (!hasUnresolved) {
+        m_hostsWithUnresolvedLosses.erase(host);
     }
 }
 
-/** The worker's life goes on after all; or, without a life, its host is gone for good. */
-void JobController::acquit(const std::string& host, const std::string& incarnation) {
-    if (m_openHosts.count(host) == 0) {
+/**
+ * Discards the unresolved losses of an incarnation that turns out to be still running, or of all
+ * incarnations on the host if `incarnation` is empty because the host has expired.
+ */
+void JobController::discardUnresolvedLossesOn(const std::string& host,
+                                              const std::string& incarnation) {
+    if (m_hostsWithUnresolvedLosses.count(host) == 0) {
         return;
     }
-    bool isOpen = false;
-    forEachOpenLoss([&](JobEntry& entry, const TaskKey& key, const RunLoss& loss) {
+    bool hasUnresolved = false;
+    forEachUnresolvedLoss([&](JobEntry& entry, const TaskKey& key, const RunLoss& loss) {
         if (loss.m_worker.m_host != host) {
             return;
         }
         if (incarnation.empty() || loss.m_worker.m_incarnation == incarnation) {
-            forgetOpenLoss(entry, key, loss);
+            discardUnresolvedLoss(entry, key, loss);
         } else {
-            isOpen = true;
+            hasUnresolved = true;
         }
     });
-    if (!isOpen) {
-        m_openHosts.erase(host);
-        stepSoon();
+    if (!hasUnresolved) {
+        m_hostsWithUnresolvedLosses.erase(host);
+        invalidatePlan();
     }
 }
 
-/** What goes on for long after it was lost several times did not crash its workers. */
-void JobController::refuteLosses(JobEntry& entry, const TaskKey& key, std::uint32_t run) {
+/**
+ * Clears a task's losses when its present run has lasted so long that the task can't be the cause
+ * of the earlier crashes.
+ */
+void JobController::clearRefutedLosses(JobEntry& entry, const TaskKey& key, std::uint32_t run) {
     TaskRun* const task = entry.m_run.findTask(key);
     const bool isRefuted = task != nullptr && task->occupiesWorker() && task->m_run == run &&
                            task->m_losses.isRefutedByRunTime(m_loop.wallNow() - task->m_placedAt);
@@ -244,18 +273,21 @@
     }
 }
 
-/** A new leader finds in the records what is still open; a host that is forgotten settles it. */
-void JobController::findOpenLosses() {
-    std::set<std::string> unknown;
-    forEachOpenLoss([&](JobEntry&, const TaskKey&, const RunLoss& loss) {
+/**
+ * Restores the hosts with unresolved losses from the jobs' records, for a new leader. Losses on
+ * hosts that are no longer registered can't be resolved any more and are discarded.
+ */
+void JobController::restoreUnresolvedLosses() {
+    std::set<std::string> unknownHosts;
+    forEachUnresolvedLoss([&](JobEntry&, const TaskKey&, const RunLoss& loss) {
         const std::string& host = loss.m_worker.m_host;
-        m_openHosts.insert(host);
+        m_hostsWithUnresolvedLosses.insert(host);
         if (m_workers.findHost(host) == nullptr) {
-            unknown.insert(host);
+            unknownHosts.insert(host);
         }
     });
-    for (const std::string& host : unknown) {
-        acquit(host, "");
+    for (const std::string& host : unknownHosts) {
+        discardUnresolvedLossesOn(host, "");
     }
 }
 
--- a/libs/control/src/JobControllerReports.cpp
+++ b/libs/control/src/JobControllerReports.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// What a JobController learns from the sidecars.
+// Handles the sidecars' reports.
 #include <algorithm>
 #include <utility>
 
@@ -11,31 +11,33 @@
 void JobController::handleWorkerChanged(const std::string& host) {
     m_areSnapshotsStale = true;
     m_capacityRefusals.forget(host);
-    const WorkerPool::Host* const known = m_workers.findHost(host);
-    if (known == nullptr || !known->isLinked()) {
+    const WorkerPool::Host* const poolHost = m_workers.findHost(host);
+    if (poolHost == nullptr || !poolHost->isLinked()) {
         m_progress.forgetHost(host);
     }
-    if (known != nullptr && known->isLinked() && known->m_notice.has_value() &&
-        !known->m_notice->m_incarnation.empty()) {
-        const WorkerNotice notice = *known->m_notice;
-        // A crash is judged before its runs are released: the next plan has to know of it.
+    if (poolHost != nullptr && poolHost->isLinked() && poolHost->m_notice.has_value() &&
+        !poolHost->m_notice->m_incarnation.empty()) {
+        const WorkerNotice notice = *poolHost->m_notice;
+        // Crashes are classified before their runs are released, so that the next plan considers
+        // the result.
         classifyCrashes(host, notice);
         if (notice.m_hasExited) {
-            loseRuns(host, "", LossCause::WORKER_LEFT);
-        } else if (known->m_hasReport && getReportedIncarnation(host) == notice.m_incarnation) {
-            // Not before the new life has told what runs there: it may have done what its former
-            // process was called for, and placed anew that would run twice at once.
-            loseRuns(host, notice.m_incarnation, LossCause::OTHER_INCARNATION);
+            releaseLostRuns(host, "", LossCause::WORKER_LEFT);
+        } else if (poolHost->m_hasReport && getReportedIncarnation(host) == notice.m_incarnation) {
+            // Not before the new incarnation has reported its runs: it may have carried out an
+            // order to the previous incarnation, and a run that is placed again would then run
+            // twice.
+            releaseLostRuns(host, notice.m_incarnation, LossCause::OTHER_INCARNATION);
         }
-        settleOpenLosses(host, notice);
-        if (known->m_hasReport) {
+        resolveLosses(host, notice);
+        if (poolHost->m_hasReport) {
             resendOrders(host);
         }
     }
-    stepSoon();
+    invalidatePlan();
 }
 
-/** @return empty before the first report. */
+/** @return the incarnation in the host's last report; empty before the first report. */
 std::string_view JobController::getReportedIncarnation(const std::string& host) const {
     const auto report = m_reports.find(host);
     return report == m_reports.end() ? std::string_view() : report->second.m_report.m_incarnation;
@@ -43,79 +45,87 @@
 
 void JobController::handleRunReport(const std::string& host, const RunReport& report) {
     const WorkerId worker{host, report.m_incarnation};
-    const bool isOtherLife = getReportedIncarnation(host) != report.m_incarnation;
-    bool isNews = false;
+    const bool isOtherIncarnation = getReportedIncarnation(host) != report.m_incarnation;
+    bool hasNewEnds = false;
     for (const EndedEntry& end : report.m_ended) {
-        if (m_ledger.recordReported(worker, end.m_number)) {
+        if (m_persistedEnds.recordReported(worker, end.m_number)) {
             applyRunEnd(worker, end);
-            isNews = true;
+            hasNewEnds = true;
         }
     }
     m_reports[host] = {report, m_loop.now()};
-    acquit(host, report.m_incarnation);
-    noteProgress(host, report);
+    discardUnresolvedLossesOn(host, report.m_incarnation);
+    recordProgress(host, report);
     stopOrphanedRuns(worker, report);
     sendEndsPersisted(worker);
-    if (isOtherLife) {
+    if (isOtherIncarnation) {
         handleWorkerChanged(host);
     }
-    // What runs only goes on: the next plan that is due sees how far.
-    if (isNews) {
+    // Mere progress needs no new plan: the next regular plan considers it.
+    if (hasNewEnds) {
         m_capacityRefusals.forget(host);
-        stepSoon();
+        invalidatePlan();
     }
 }
 
-/** What runs without being held by a job, whatever it comes from, takes room and may run twice. */
+/**
+ * Stops the reported runs that belong to no active run of a job. Whatever their origin, they
+ * occupy capacity, and their task may run twice.
+ */
 void JobController::stopOrphanedRuns(const WorkerId& worker, const RunReport& report) {
     for (const RunningEntry& running : report.m_running) {
         const auto key = TaskKey::parse(running.m_task);
         const auto found = key.has_value() ? m_jobs.find(key->m_job) : m_jobs.end();
-        if (found != m_jobs.end() && findRunAt(found->second, *key, running.m_run, worker)) {
+        if (found != m_jobs.end() && findOrRebindRun(found->second, *key, running.m_run, worker)) {
             continue;
         }
-        const bool isHeld =
+        const bool isTracked =
                 found != m_jobs.end() && found->second.m_hasInput &&
                 trackOrphanedRun(found->second.m_record, found->second.m_run,
                                  {*key, running.m_run, worker, m_loop.wallNow(), true, false});
-        if (isHeld) {
+        if (isTracked) {
             found->second.m_isDirty = true;
         }
         logEvent(Severity::WARNING, "jobs", "stray-run",
                  {{"task", running.m_task},
                   {"run", std::to_string(running.m_run)},
                   {"host", worker.m_host},
-                  {"held", isHeld ? "yes" : "no"}});
+                  {"held", isTracked ? "yes" : "no"}});
         m_workers.send(worker.m_host,
                        RunStop{m_epoch, worker.m_incarnation, running.m_task, running.m_run});
     }
 }
 
 /**
- * The run with this number, if it holds this worker. One that holds a former life of the worker was
- * begun by the present one, on a call that came late: it is the same run, and goes on there.
+ * Returns the active run with this number if it occupies this worker. A run that is recorded for a
+ * previous incarnation of the worker was started by the present one, on a late call. It is the same
+ * run, and is rebound to the present incarnation.
  */
-std::optional<ActiveRun> JobController::findRunAt(JobEntry& entry, const TaskKey& key,
-                                                  std::uint32_t run, const WorkerId& worker) {
-    auto held = entry.m_run.findActiveRun(key, run);
-    if (!held.has_value() || held->m_worker.m_host != worker.m_host) {
+std::optional<ActiveRun> JobController::findOrRebindRun(JobEntry& entry, const TaskKey& key,
+                                                        std::uint32_t run, const WorkerId& worker) {
+    auto activeRun = entry.m_run.findActiveRun(key, run);
+    if (!activeRun.has_value() || activeRun->m_worker.m_host != worker.m_host) {
         return std::nullopt;
     }
-    if (held->m_worker != worker) {
+    if (activeRun->m_worker != worker) {
         logEvent(Severity::WARNING, "jobs", "run-adopted",
                  {{"task", key.toText()},
                   {"run", std::to_string(run)},
                   {"host", worker.m_host},
                   {"life", worker.m_incarnation},
-                  {"former", held->m_worker.m_incarnation}});
-        rebindRun(entry.m_run, *held, worker);
+                  {"former", activeRun->m_worker.m_incarnation}});
+        rebindRun(entry.m_run, *activeRun, worker);
         entry.m_isDirty = true;
-        held->m_worker = worker;
+        activeRun->m_worker = worker;
     }
-    return held;
+    return activeRun;
 }
 
-void JobController::noteProgress(const std::string& host, const RunReport& report) {
+/**
+ * Records the progress of the reported runs, from which stalls and the hosts' speeds are derived.
+ * Runs of lasting steps make no progress and are left out.
+ */
+void JobController::recordProgress(const std::string& host, const RunReport& report) {
     std::vector<ProgressReport> runs;
     for (const RunningEntry& entry : report.m_running) {
         const auto key = TaskKey::parse(entry.m_task);
@@ -123,23 +133,23 @@
         if (found == m_jobs.end() || !found->second.m_hasInput) {
             continue;
         }
-        refuteLosses(found->second, *key, entry.m_run);
+        clearRefutedLosses(found->second, *key, entry.m_run);
         const auto& steps = found->second.m_record.m_spec.m_steps;
         const bool isLasting = key->m_step >= steps.size() || steps[key->m_step].m_isLasting;
         if (!isLasting) {
-            const bool isHalfThere = entry.m_percent == 0 && steps[key->m_step].m_isGang &&
-                                     !isGangThere(found->second, *key, entry.m_run);
-            const bool mayWait = isHalfThere || hasStoodOnSeveralHosts(found->second, *key);
+            const bool isGangIncomplete = entry.m_percent == 0 && steps[key->m_step].m_isGang &&
+                                          !isWholeGangRunning(found->second, *key, entry.m_run);
+            const bool mayWait = isGangIncomplete || hasFailedOnSeveralHosts(found->second, *key);
             runs.push_back(
                     {*key, entry.m_run, entry.m_percent, mayWait, steps[key->m_step].m_estimate});
         }
     }
     const bool wasStalled = isStalled(host);
     for (const ProgressRate& rate : m_progress.recordReport(host, runs, m_loop.now())) {
-        const auto reported = std::find_if(runs.begin(), runs.end(), [&](const auto& one) {
-            return one.m_task == rate.m_task;
-        });
-        if (reported != runs.end() && wasCold(host, rate.m_task, reported->m_run)) {
+        const auto reported = std::find_if(
+                runs.begin(), runs.end(),
+                [&](const auto& progressReport) { return progressReport.m_task == rate.m_task; });
+        if (reported != runs.end() && wasPlacedWhileCold(host, rate.m_task, reported->m_run)) {
             continue;
         }
         TaskKey step = rate.m_task;
@@ -149,27 +159,27 @@
     const auto stalledAt = m_health.getStalledAt(host);
     if (stalledAt.has_value() && m_progress.hasAdvancedSince(host, *stalledAt)) {
         m_health.recordAdvanced(host, m_loop.now());
-        stepSoon();
+        invalidatePlan();
     }
     if (!wasStalled && isStalled(host)) {
-        stepSoon();
+        invalidatePlan();
     }
 }
 
 /**
- * A run that stands still, or fails, wherever it is put takes longer than declared or is itself to
- * blame: it is not moved without end, and says nothing of its host. The record does not tell the
- * two apart.
+ * Returns whether a task has stalled or failed on several hosts; its record does not distinguish
+ * the two. Such a task takes longer than declared or is itself faulty, so a stall of it is no
+ * evidence against its host and does not move it to yet another host.
  */
-bool JobController::hasStoodOnSeveralHosts(const JobEntry& entry, const TaskKey& task) {
+bool JobController::hasFailedOnSeveralHosts(const JobEntry& entry, const TaskKey& task) {
     constexpr std::size_t SEVERAL = 2;
     const TaskRun* const run = entry.m_run.findTask(task);
     return run != nullptr && run->m_failedHosts.count() >= SEVERAL;
 }
 
-/** Whether the workers of all members of a gang's run say that they run it. */
-bool JobController::isGangThere(const JobEntry& entry, const TaskKey& member,
-                                std::uint32_t run) const {
+/** Returns whether the workers of all members report a gang's run as running. */
+bool JobController::isWholeGangRunning(const JobEntry& entry, const TaskKey& member,
+                                       std::uint32_t run) const {
     const OccurrenceRun* const occurrence = entry.m_run.findOccurrence(member.m_occurrence);
     if (occurrence == nullptr) {
         return false;
@@ -190,56 +200,59 @@
     });
 }
 
+/** Applies a reported end of a run to its job. An end that changes nothing counts as persisted. */
 void JobController::applyRunEnd(const WorkerId& worker, const EndedEntry& end) {
     const auto key = TaskKey::parse(end.m_task);
     const auto found = key.has_value() ? m_jobs.find(key->m_job) : m_jobs.end();
     if (found == m_jobs.end()) {
-        m_ledger.markPersisted(worker, end.m_number);
+        m_persistedEnds.markPersisted(worker, end.m_number);
         return;
     }
     JobEntry& entry = found->second;
-    const auto how =
+    const auto endKind =
             static_cast<RunEnd>(std::min(end.m_end, static_cast<std::uint32_t>(lastOf(RunEnd()))));
-    const auto held = findRunAt(entry, *key, end.m_run, worker);
-    const bool isHere = held.has_value();
+    const auto activeRun = findOrRebindRun(entry, *key, end.m_run, worker);
+    const bool isActive = activeRun.has_value();
     const EndEffect effect =
-            isHere ? applyEnd(entry.m_record, entry.m_run, *key, end.m_run, how, end.m_checkpoint,
-                              m_loop.wallNow())
-                   : applyLateEnd(entry.m_record, entry.m_run, {*key, end.m_run, worker}, how,
-                                  m_loop.wallNow());
+            isActive ? applyEnd(entry.m_record, entry.m_run, *key, end.m_run, endKind,
+                                end.m_checkpoint, m_loop.wallNow())
+                     : applyLateEnd(entry.m_record, entry.m_run, {*key, end.m_run, worker}, endKind,
+                                    m_loop.wallNow());
     logEvent(Severity::INFO, "jobs", "run-ended",
              {{"task", end.m_task},
               {"run", std::to_string(end.m_run)},
               {"host", worker.m_host},
               {"number", std::to_string(end.m_number)},
-              {"how", std::string(toText(how))},
+              {"how", std::string(toText(endKind))},
               {"ran_ms",
-               isHere ? std::to_string((m_loop.wallNow() - held->m_placedAt).count()) : "-"},
-              {"cores", std::to_string(getWeight(entry.m_record, *key))},
+               isActive ? std::to_string((m_loop.wallNow() - activeRun->m_placedAt).count()) : "-"},
+              {"cores", std::to_string(getRoundedCores(entry.m_record, *key))},
               {"current", effect.m_isCurrent ? "yes" : "no"}});
-    if (isHere) {
-        const Millis ran = m_loop.wallNow() - held->m_placedAt;
-        m_health.recordRunEnd({worker.m_host, key->m_job, how, ran}, m_loop.now());
+    if (isActive) {
+        const Millis runTime = m_loop.wallNow() - activeRun->m_placedAt;
+        m_health.recordRunEnd({worker.m_host, key->m_job, endKind, runTime}, m_loop.now());
     }
     if (effect.m_isCurrent) {
-        entry.m_ends.emplace_back(worker, end.m_number);
-        takeEffect(entry, effect);
-        takeEffect(entry, failIfProvenFaulty(entry.m_run, *key, m_loop.wallNow()));
+        entry.m_endsToPersist.emplace_back(worker, end.m_number);
+        applyEffect(entry, effect);
+        applyEffect(entry, failIfProvenFaulty(entry.m_run, *key, m_loop.wallNow()));
     } else if (entry.m_isDirty || entry.m_isCommitting) {
-        // A gang's other members: what makes this end old is not committed yet.
-        entry.m_ends.emplace_back(worker, end.m_number);
+        // The end is obsolete due to a change that is not committed yet, such as the end of another
+        // member of the gang. It counts as persisted only after that commit.
+        entry.m_endsToPersist.emplace_back(worker, end.m_number);
         entry.m_isDirty = true;
     } else {
-        m_ledger.markPersisted(worker, end.m_number);
+        m_persistedEnds.markPersisted(worker, end.m_number);
     }
 }
 
-void JobController::takeEffect(JobEntry& entry, const EndEffect& effect) {
+/** Queues the stops that follow from the end of a run, and logs the end of its job. */
+void JobController::applyEffect(JobEntry& entry, const EndEffect& effect) {
     if (!effect.m_isCurrent) {
         return;
     }
     entry.m_isDirty = true;
-    stopRuns(entry, effect.m_toStop);
+    queueStops(entry, effect.m_toStop);
     if (effect.m_endsJob) {
         logEvent(Severity::INFO, "jobs", "over",
                  {{"job", entry.m_record.m_id},
@@ -255,12 +268,12 @@
         return;
     }
     JobEntry& entry = found->second;
-    const auto held = entry.m_run.findActiveRun(*key, absent.m_run);
-    const WorkerPool::Host* const known = m_workers.findHost(host);
-    // Before the worker's report it is not known whether another life of it runs the run.
-    const bool isReported = known != nullptr && known->m_hasReport;
-    if (!isReported || !held.has_value() ||
-        held->m_worker != WorkerId{host, absent.m_incarnation}) {
+    const auto activeRun = entry.m_run.findActiveRun(*key, absent.m_run);
+    const WorkerPool::Host* const poolHost = m_workers.findHost(host);
+    // Until the worker has sent a report, another incarnation of it may have the run.
+    const bool isReported = poolHost != nullptr && poolHost->m_hasReport;
+    if (!isReported || !activeRun.has_value() ||
+        activeRun->m_worker != WorkerId{host, absent.m_incarnation}) {
         return;
     }
     logEvent(Severity::INFO, "jobs", "run-absent",
@@ -272,15 +285,19 @@
         m_capacityRefusals.recordRefusal(host, m_loop.now());
     }
     if (absent.m_reason == "ticket") {
-        m_advice.dropTicket({key->m_job, key->m_occurrence, key->m_step}, absent.m_incarnation);
+        m_ticketCache.dropTicket({key->m_job, key->m_occurrence, key->m_step},
+                                 absent.m_incarnation);
     }
-    takeEffect(entry,
-               applyNotRunning(entry.m_record, entry.m_run, *key, absent.m_run, m_loop.wallNow()));
-    takeEffect(entry, failIfProvenFaulty(entry.m_run, *key, m_loop.wallNow()));
-    stepSoon();
+    applyEffect(entry,
+                applyNotRunning(entry.m_record, entry.m_run, *key, absent.m_run, m_loop.wallNow()));
+    applyEffect(entry, failIfProvenFaulty(entry.m_run, *key, m_loop.wallNow()));
+    invalidatePlan();
 }
 
-/** After a new link: what was ordered may not have arrived. */
+/**
+ * Sends the orders and stops for a host's runs again, for example after a new link, since some may
+ * not have arrived.
+ */
 void JobController::resendOrders(const std::string& host) {
     const auto report = m_reports.find(host);
     if (report == m_reports.end()) {
@@ -288,14 +305,15 @@
     }
     for (auto& [id, entry] : m_jobs) {
         for (const ActiveRun& run : listActiveRunsOn(host, id, entry.m_run)) {
-            resendRun(entry, run, report->second.m_report);
+            resendOrderOrStop(entry, run, report->second.m_report);
         }
     }
 }
 
 /**
- * A link that lives loses nothing as a rule; but what an order met on its way, nobody tells. One
- * that a later report does not show is sent again: the sidecar takes it for the same.
+ * Sends orders and stops again that recent reports do not reflect. An intact link normally loses
+ * nothing, but the failure of an order on its way is not reported. The sidecar recognises a
+ * repeated order.
  */
 void JobController::resendLostOrders() {
     if (m_loop.now() - m_ordersCheckedAt < m_settings.m_orderReportTimeout) {
@@ -307,31 +325,38 @@
             const auto report = m_reports.find(run.m_worker.m_host);
             const WorkerPool::Host* const host = m_workers.findHost(run.m_worker.m_host);
             const Millis age = m_loop.wallNow() - run.m_placedAt;
-            const bool isTold =
+            const bool hasRecentReport =
                     report != m_reports.end() && host != nullptr && host->m_hasReport &&
                     report->second.m_report.m_incarnation == run.m_worker.m_incarnation &&
                     m_loop.now() - report->second.m_at < m_settings.m_orderReportTimeout;
-            if (isTold && (run.m_isStopping || age > 2 * m_settings.m_orderReportTimeout)) {
-                resendRun(entry, run, report->second.m_report);
+            if (hasRecentReport &&
+                (run.m_isStopping || age > 2 * m_settings.m_orderReportTimeout)) {
+                resendOrderOrStop(entry, run, report->second.m_report);
             }
         }
     }
 }
 
-/** Whether a host's report lists a run, as one that runs or that has ended. */
-bool JobController::isShown(const ActiveRun& run, const RunReport& report) {
+/** Returns whether a host's report lists a run, as running or as ended. */
+bool JobController::isInReport(const ActiveRun& run, const RunReport& report) {
     const std::string name = run.m_task.toText();
-    const auto isIt = [&](const auto& entry) {
+    const auto isSameRun = [&](const auto& entry) {
         return entry.m_task == name && entry.m_run == run.m_run;
     };
-    return std::any_of(report.m_running.begin(), report.m_running.end(), isIt) ||
-           std::any_of(report.m_ended.begin(), report.m_ended.end(), isIt);
+    return std::any_of(report.m_running.begin(), report.m_running.end(), isSameRun) ||
+           std::any_of(report.m_ended.begin(), report.m_ended.end(), isSameRun);
 }
 
-void JobController::resendRun(JobEntry& entry, const ActiveRun& run, const RunReport& report) {
+/**
+ * Sends a run's order or stop again, or revokes the run if the report does not list it and its
+ * failure domain is under evacuation. The order of a listed run is sent again only if the sidecar
+ * needs its parameters to throttle tasks.
+ */
+void JobController::resendOrderOrStop(JobEntry& entry, const ActiveRun& run,
+                                      const RunReport& report) {
     const std::string name = run.m_task.toText();
     if (!entry.m_hasInput || entry.hasPendingMessage(name, run.m_run)) {
-        // Goes out when it is committed.
+        // Sent after the commit.
         return;
     }
     if (run.m_isStopping) {
@@ -340,11 +365,11 @@
         return;
     }
     const StepSpec& step = entry.m_record.m_spec.m_steps[run.m_task.m_step];
-    const bool isOfKind = step.m_isFilling || step.m_latencyTarget > Millis(0);
-    const bool isHere = isShown(run, report);
-    if (!isHere && isHostEvacuated(run.m_worker.m_host)) {
+    const bool isThrottleRelevant = step.m_isFilling || step.m_latencyTarget > Millis(0);
+    const bool isListed = isInReport(run, report);
+    if (!isListed && isHostEvacuated(run.m_worker.m_host)) {
         revoke(entry, run);
-    } else if (isHere ? isOfKind : m_evacuations.isCertain()) {
+    } else if (isListed ? isThrottleRelevant : m_evacuations.isCertain()) {
         m_workers.send(run.m_worker.m_host, makeOrder(entry, run));
     }
 }
--- a/libs/control/src/JobControllerStore.cpp
+++ b/libs/control/src/JobControllerStore.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// What a JobController reads from the store.
+// Loads and watches a JobController's input in the store.
 #include <algorithm>
 #include <charconv>
 #include <utility>
@@ -14,8 +14,8 @@
 
 namespace {
 
-/** Pause before a call of the store that failed is made again. */
-constexpr Millis RETRY_PAUSE{200};
+/** Delay before a failed call to the store is repeated. */
+constexpr Millis RETRY_DELAY{200};
 
 }  // namespace
 
@@ -25,7 +25,7 @@
             return;
         }
         if (input.m_status != StoreStatus::OK) {
-            m_loop.callLater(RETRY_PAUSE, guarded([this] { load(); }));
+            m_loop.callLater(RETRY_DELAY, guarded([this] { load(); }));
             return;
         }
         loadRuns(input);
@@ -38,7 +38,7 @@
             return;
         }
         if (runs.m_status != StoreStatus::OK) {
-            m_loop.callLater(RETRY_PAUSE, guarded([this] { load(); }));
+            m_loop.callLater(RETRY_DELAY, guarded([this] { load(); }));
             return;
         }
         for (const StoreItem& item : input.m_items) {
@@ -55,8 +55,8 @@
                 handleInput(item);
             }
         }
-        blameHosts();
-        findOpenLosses();
+        restoreStalledHosts();
+        restoreUnresolvedLosses();
         m_watchedTo = input.m_at;
         m_isLoaded = true;
         m_loadedAt = m_loop.now();
@@ -66,17 +66,17 @@
                   {"at", std::to_string(input.m_at)}});
         watch();
         tick();
-        stepSoon();
+        invalidatePlan();
     });
 }
 
 /**
- * A new leader knows of hosts only what the unfinished jobs say: on those that are named by a task
- * without a failure, it stood still. Hosts that failed a task are not blamed anew: most of these
- * failures are the tasks' own, and with them 8 of 60 plays fell and 2 rose on a fleet of 14 hosts
- * (-0.0067 +- 0.0038 of a day's worth; without, 2 fell and 2 rose).
+ * Restores the failure scores of hosts where runs stalled, for a new leader. The only source is the
+ * records of unfinished jobs: a host that is listed for a task without a failure is one where the
+ * task stalled. Hosts where tasks failed are not restored: most such failures are the tasks' own,
+ * and counting them makes schedules slightly worse on a small fleet.
  */
-void JobController::blameHosts() {
+void JobController::restoreStalledHosts() {
     for (const auto& [id, entry] : m_jobs) {
         if (entry.m_run.isFinished()) {
             continue;
@@ -93,7 +93,7 @@
             return;
         }
         if (changes.m_status != StoreStatus::OK) {
-            m_loop.callLater(RETRY_PAUSE, guarded([this] { relist(); }));
+            m_loop.callLater(RETRY_DELAY, guarded([this] { relist(); }));
             return;
         }
         m_watchedTo = changes.m_at;
@@ -107,14 +107,14 @@
     m_store.watch(INPUT_PREFIX, m_watchedTo, m_settings.m_watchWait, onChanges);
 }
 
-/** After a watch that broke, nobody knows what it missed. */
+/** Lists the whole input again after a failed watch, which may have missed changes. */
 void JobController::relist() {
     m_store.list(INPUT_PREFIX, [this, term = std::weak_ptr(m_term)](const StoreList& input) {
         if (term.expired()) {
             return;
         }
         if (input.m_status != StoreStatus::OK) {
-            m_loop.callLater(RETRY_PAUSE, guarded([this] { relist(); }));
+            m_loop.callLater(RETRY_DELAY, guarded([this] { relist(); }));
             return;
         }
         for (const StoreItem& item : input.m_items) {
@@ -142,25 +142,25 @@
     } else if (key.starts_with(DOMAIN_PREFIX)) {
         updateDomain(std::string(key.substr(DOMAIN_PREFIX.size())), item.m_value);
     }
-    stepSoon();
+    invalidatePlan();
 }
 
 void JobController::updateWeight(std::string_view text) {
-    constexpr std::uint32_t MOST = 100;
+    constexpr std::uint32_t MAX_WEIGHT = 100;
     std::uint32_t weight = 0;
     const auto result = std::from_chars(text.data(), text.data() + text.size(), weight);
-    if (result.ec != std::errc() || weight > MOST) {
+    if (result.ec != std::errc() || weight > MAX_WEIGHT) {
         noteUnreadable("jobs", "unreadable-weight", {{"value", std::string(text)}});
         return;
     }
-    m_weight = weight;
+    m_currentFragmentationWeight = weight;
 }
 
 void JobController::updateAdminState(const std::string& host, std::string_view word) {
-    for (const WorkerAdminState hold :
+    for (const WorkerAdminState state :
          {WorkerAdminState::RELEASE, WorkerAdminState::QUARANTINE, WorkerAdminState::DRAIN}) {
-        if (word == toText(hold)) {
-            m_adminStates[host] = hold;
+        if (word == toText(state)) {
+            m_adminStates[host] = state;
             return;
         }
     }
@@ -168,9 +168,9 @@
 }
 
 /**
- * Sooner than the watch, and without a read, which on a slow store would come before each start.
- * The store's order does not matter here: a record never changes, and a withdrawal is one whenever
- * it is seen.
+ * Handles input that another gateway has written to the store. The notice arrives before the watch
+ * reports the input, and saves a read that would delay each start when the store is slow. The order
+ * of notices and watch events does not matter: a job's record never changes, and a cancel is final.
  */
 void JobController::handleInputNotice(const InputNotice& notice) {
     if (m_isLoaded) {
@@ -178,7 +178,10 @@
     }
 }
 
-/** Their links are opened first: their leases are running. */
+/**
+ * Returns the hosts with active runs. Their links are opened first, since their workers' leases
+ * are running out.
+ */
 std::set<std::string, std::less<>> JobController::listHostsWithRuns() const {
     std::set<std::string, std::less<>> hosts;
     for (const auto& [id, entry] : m_jobs) {
@@ -191,7 +194,7 @@
 
 void JobController::addJob(const StoreItem& item) {
     const std::string id = item.m_key.substr(JOB_PREFIX.size());
-    if (m_jobs.count(id) != 0 || m_unreadable.count(id) != 0) {
+    if (m_jobs.count(id) != 0 || m_unreadableRuns.count(id) != 0) {
         return;
     }
     auto record = decodeJobRecord(item.m_value);
@@ -220,15 +223,15 @@
     const std::string id = item.m_key.substr(RUN_PREFIX.size());
     auto run = decodeJobRun(item.m_value);
     if (!run.has_value()) {
-        // It may run, or be done: nothing can be decided about it, and what is known stays as it
-        // is.
+        // The job may be running or finished. It is left out of scheduling, and the stored run
+        // stays unchanged.
         noteUnreadable("jobs", "unreadable-run", {{"job", id}});
         m_jobs.erase(id);
-        m_unreadable.insert(id);
+        m_unreadableRuns.insert(id);
         return;
     }
-    const auto [place, isNew] = m_jobs.try_emplace(id);
-    JobEntry& entry = place->second;
+    const auto [position, isNew] = m_jobs.try_emplace(id);
+    JobEntry& entry = position->second;
     if (isNew) {
         entry.m_record.m_id = id;
         entry.m_hasInput = false;
@@ -238,7 +241,7 @@
     }
     entry.m_run = std::move(*run);
     entry.m_runRevision = item.m_revision;
-    // Its input should have gone with the write that ended it.
+    // The transaction that persisted the job's end should also have removed its input.
     entry.m_isDirty = entry.m_run.isFinished() && entry.m_hasInput && entry.m_run.isIdle();
 }
 
@@ -247,7 +250,7 @@
     if (found != m_jobs.end()) {
         found->second.m_isCancelRequested = true;
     } else {
-        // A list names withdrawals before the jobs that they belong to.
+        // A list returns cancels before the jobs that they belong to.
         m_earlyCancels.insert(id);
     }
 }
--- a/libs/control/src/JobControllerView.cpp
+++ b/libs/control/src/JobControllerView.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// What a JobController shows to the planner.
+// Prepares the planner's input.
 #include <algorithm>
 #include <utility>
 
@@ -11,13 +11,13 @@
     if (m_areSnapshotsStale) {
         rebuildWorkerSnapshots();
     }
-    for (WorkerSnapshot& view : m_snapshots) {
-        updateSnapshot(view, *m_workers.findHost(view.m_id.m_host));
+    for (WorkerSnapshot& snapshot : m_snapshots) {
+        updateSnapshot(snapshot, *m_workers.findHost(snapshot.m_id.m_host));
     }
     return m_snapshots;
 }
 
-/** What the workers' notices say; a notice makes it stale. */
+/** Rebuilds the snapshots from the workers' notices; a new notice makes them stale. */
 void JobController::rebuildWorkerSnapshots() const {
     m_snapshots.clear();
     m_areSnapshotsStale = false;
@@ -26,65 +26,75 @@
             continue;
         }
         const WorkerNotice& notice = *host.m_notice;
-        WorkerSnapshot& view = m_snapshots.emplace_back();
-        view.m_id = {address, notice.m_incarnation};
-        view.m_service = notice.m_service;
-        view.m_failureDomain = notice.m_failureDomain;
-        view.m_rack = notice.m_rack;
-        view.m_labels.insert(notice.m_labels.begin(), notice.m_labels.end());
-        view.m_capacity = {notice.m_cpuMillis, notice.m_memoryMb, notice.m_accelerators};
-        view.m_fullCapacity = {notice.m_fullCpuMillis, notice.m_fullMemoryMb,
-                               notice.m_fullAccelerators};
+        WorkerSnapshot& snapshot = m_snapshots.emplace_back();
+        snapshot.m_id = {address, notice.m_incarnation};
+        snapshot.m_service = notice.m_service;
+        snapshot.m_failureDomain = notice.m_failureDomain;
+        snapshot.m_rack = notice.m_rack;
+        snapshot.m_labels.insert(notice.m_labels.begin(), notice.m_labels.end());
+        snapshot.m_capacity = {notice.m_cpuMillis, notice.m_memoryMb, notice.m_accelerators};
+        snapshot.m_fullCapacity = {notice.m_fullCpuMillis, notice.m_fullMemoryMb,
+                                   notice.m_fullAccelerators};
     }
 }
 
-void JobController::updateSnapshot(WorkerSnapshot& view, const WorkerPool::Host& host) const {
+/**
+ * Refreshes the fields of a snapshot that change without a notice: whether the worker leaves or
+ * accepts work, its slowness and whether its host is suspect.
+ */
+void JobController::updateSnapshot(WorkerSnapshot& snapshot, const WorkerPool::Host& host) const {
     const WorkerNotice& notice = *host.m_notice;
-    const std::string& address = view.m_id.m_host;
+    const std::string& address = snapshot.m_id.m_host;
     const bool isEvacuatedByStatement =
             isLeaving(notice.m_incarnation) || getAdminState(address) == WorkerAdminState::DRAIN;
-    view.m_leavesIn.reset();
+    snapshot.m_leavesIn.reset();
     if (notice.m_isDraining) {
         const Millis passed = m_loop.now() - host.m_noticeAt;
-        view.m_leavesIn = std::max(Millis(notice.m_remainingMs) - passed, Millis(0));
+        snapshot.m_leavesIn = std::max(Millis(notice.m_remainingMs) - passed, Millis(0));
     } else if (isEvacuatedByStatement) {
-        view.m_leavesIn = Millis(0);
+        snapshot.m_leavesIn = Millis(0);
     }
-    view.m_isEvacuated = isEvacuated(view.m_failureDomain);
-    view.m_acceptsWork =
-            !view.m_isEvacuated && host.isLinked() && host.m_hasReport && !notice.m_hasExited &&
-            !host.m_isWorkerUnresponsive && !view.m_leavesIn.has_value() &&
+    snapshot.m_isEvacuated = isEvacuated(snapshot.m_failureDomain);
+    snapshot.m_acceptsWork =
+            !snapshot.m_isEvacuated && host.isLinked() && host.m_hasReport && !notice.m_hasExited &&
+            !host.m_isWorkerUnresponsive && !snapshot.m_leavesIn.has_value() &&
             getAdminState(address) == WorkerAdminState::RELEASE && !isAvoided(address) &&
             !isStalled(address) && !m_capacityRefusals.isPaused(address, m_loop.now());
     const auto coldUntil = getColdUntil(address);
     const bool isCold = coldUntil.has_value() && m_loop.now() < *coldUntil;
-    view.m_slowness =
-            m_settings.m_learnsSpeeds ? m_speeds.getSlowness(view.m_id.m_incarnation) : 1.0;
-    view.m_slowness *= m_settings.m_learnsSpeeds && isCold ? m_settings.m_coldSlowness : 1.0;
-    view.m_isSuspect = m_settings.m_scoresHosts && m_health.isSuspect(address, m_loop.now());
+    snapshot.m_slowness =
+            m_settings.m_learnsSpeeds ? m_speeds.getSlowness(snapshot.m_id.m_incarnation) : 1.0;
+    snapshot.m_slowness *= m_settings.m_learnsSpeeds && isCold ? m_settings.m_coldSlowdown : 1.0;
+    snapshot.m_isSuspect = m_settings.m_scoresHosts && m_health.isSuspect(address, m_loop.now());
 }
 
-/** Empty for a worker that was not cold when it told of itself. */
+/** A notice states the remaining time, which counts from the receipt of the notice. */
 std::optional<Millis> JobController::getColdUntil(const std::string& host) const {
-    const WorkerPool::Host* const known = m_workers.findHost(host);
-    if (known == nullptr || !known->m_notice.has_value() || known->m_notice->m_coldLeftMs == 0) {
+    const WorkerPool::Host* const poolHost = m_workers.findHost(host);
+    if (poolHost == nullptr || !poolHost->m_notice.has_value() ||
+        poolHost->m_notice->m_coldLeftMs == 0) {
         return std::nullopt;
     }
-    return known->m_noticeAt + Millis(known->m_notice->m_coldLeftMs);
+    return poolHost->m_noticeAt + Millis(poolHost->m_notice->m_coldLeftMs);
 }
 
-/** Whether a run was there while its worker was cold: it says nothing of the warm one's speed. */
-bool JobController::wasCold(const std::string& host, const TaskKey& task, std::uint32_t run) const {
+/**
+ * Returns whether a run was placed while its worker was cold, so that its progress is no sample of
+ * the warmed-up worker's speed.
+ */
+bool JobController::wasPlacedWhileCold(const std::string& host, const TaskKey& task,
+                                       std::uint32_t run) const {
     const auto coldUntil = getColdUntil(host);
     const auto found = m_jobs.find(task.m_job);
     if (!coldUntil.has_value() || found == m_jobs.end()) {
         return false;
     }
-    const auto held = found->second.m_run.findActiveRun(task, run);
-    return held.has_value() && m_loop.now() - (m_loop.wallNow() - held->m_placedAt) < *coldUntil;
+    const auto activeRun = found->second.m_run.findActiveRun(task, run);
+    return activeRun.has_value() &&
+           m_loop.now() - (m_loop.wallNow() - activeRun->m_placedAt) < *coldUntil;
 }
 
-/** @param advised holds what the result points to. */
+/** @param advised receives the advised workers that the result points to; must outlive it. */
 std::vector<PlannedJob> JobController::listJobs(std::vector<AdvisedWorkers>& advised) const {
     std::vector<PlannedJob> jobs;
     advised.reserve(m_jobs.size());
@@ -94,7 +104,7 @@
         }
         PlannedJob job{&entry.m_record, &entry.m_run, nullptr};
         if (entry.m_record.m_policy.m_advice.has_value()) {
-            advised.push_back(m_advice.getAdvised(id));
+            advised.push_back(m_ticketCache.getAdvised(id));
             job.m_advised = &advised.back();
         }
         jobs.push_back(job);
@@ -104,6 +114,7 @@
 
 namespace {
 
+/** @return the organisations' guarantees; none before the configuration is known. */
 const std::map<std::string, std::uint32_t>& getGuarantees(const ConfigurationFeed& feed) {
     static const std::map<std::string, std::uint32_t> NONE;
     return feed.get() == nullptr ? NONE : feed.get()->m_guarantees;
@@ -113,7 +124,7 @@
 
 TaskPlanner JobController::makePlanner() const {
     TaskPlannerSettings settings = m_settings.m_planner;
-    settings.m_fragmentationWeight = m_weight;
+    settings.m_fragmentationWeight = m_currentFragmentationWeight;
     for (const std::string& service : m_demand.listServices()) {
         if (m_settings.m_reservesHeadroom) {
             settings.m_urgentHeadroom[service] = m_demand.getHeadroom(service, m_loop.wallNow());
@@ -124,7 +135,7 @@
 
 namespace {
 
-/** How long runs go on by the progress that their workers report. */
+/** Forecasts the remaining time of runs from their reported progress. */
 class ProgressForecast final : public RunForecast {
 public:
     ProgressForecast(const ProgressTracker& progress, Millis now)
@@ -142,8 +153,9 @@
 }  // namespace
 
 /**
- * A new leader links the workers with work first. As long as it knows of these alone, it would stop
- * their work for urgent work although others stand idle.
+ * False while a new leader opens its initial links, for a limited time. It links the workers with
+ * active runs first, and would preempt their runs for urgent work although workers that are not
+ * linked yet are idle.
  */
 bool JobController::mayPreempt() const {
     return !m_workers.isOpeningInitialLinks() ||
@@ -164,16 +176,19 @@
     return makePlan(jobs, true);
 }
 
-/** For all steps that are not done, so that tickets are there before room is. */
+/**
+ * Requests placement tickets for all unfinished steps, so that the tickets are there before
+ * capacity becomes free.
+ */
 void JobController::requestTickets() {
-    const bool isWished = std::any_of(m_jobs.begin(), m_jobs.end(), [](const auto& job) {
+    const bool usesAdvice = std::any_of(m_jobs.begin(), m_jobs.end(), [](const auto& job) {
         return job.second.m_record.m_policy.m_advice.has_value();
     });
-    if (!isWished) {
-        m_advice.setRequests({});
+    if (!usesAdvice) {
+        m_ticketCache.setRequests({});
         return;
     }
-    std::vector<TicketRequest> wishes;
+    std::vector<TicketRequest> requests;
     const std::vector<WorkerSnapshot>& workers = getWorkerSnapshots();
     for (const auto& [id, entry] : m_jobs) {
         const QueuePolicy& policy = entry.m_record.m_policy;
@@ -185,21 +200,21 @@
                 if (occurrence.m_steps[step].isDone()) {
                     continue;
                 }
-                TicketRequest wish{
+                TicketRequest request{
                         {id, occurrence.m_number, step}, policy.m_priority, *policy.m_advice, {}};
                 const StepSpec& spec = entry.m_record.m_spec.m_steps[step];
                 for (const WorkerSnapshot& worker : workers) {
                     const bool hasLabel = spec.m_requiredLabel.empty() ||
                                           worker.m_labels.count(spec.m_requiredLabel) != 0;
                     if (worker.m_acceptsWork && worker.m_service == policy.m_service && hasLabel) {
-                        wish.m_incarnations.push_back(worker.m_id.m_incarnation);
+                        request.m_incarnations.push_back(worker.m_id.m_incarnation);
                     }
                 }
-                wishes.push_back(std::move(wish));
+                requests.push_back(std::move(request));
             }
         }
     }
-    m_advice.setRequests(wishes);
+    m_ticketCache.setRequests(requests);
 }
 
 }  // namespace pierbank
--- a/libs/control/src/JobCore.cpp
+++ b/libs/control/src/JobCore.cpp
@@ -11,7 +11,7 @@
                  const JobCoreSettings& settings)
         : m_store(platform.m_store),
           m_transport(transport),
-          m_links(settings.m_links),
+          m_linkAddress(settings.m_links),
           m_configuration(m_store, loop, platform.m_codec, settings.m_configuration),
           m_intake(m_store, loop, m_configuration, platform.m_codec, settings.m_intake),
           m_bid(settings.m_bid, Random(std::hash<std::string>()(settings.m_leader.m_node))),
@@ -36,7 +36,7 @@
     m_lock.setElectionDelayProvider([this] { return m_bid.drawElectionDelay(); });
     m_lock.setLeaderProbe([this] { return m_leaderLink.isUsable(); });
     m_lock.onUnanswered([this] {
-        // While it is known to be lost its return is looked for anyhow.
+        // While the store is known to be lost, the feed polls for its return anyway.
         if (!m_configuration.isLost()) {
             m_configuration.confirm([](bool) {});
         }
@@ -52,7 +52,7 @@
 }
 
 void JobCore::connectLeader() {
-    // A leader that can't reach the store learns in this way that it was replaced.
+    // Reveals to a leader that can't reach the store that another gateway has superseded it.
     m_leaderLink.onLeader([this](std::uint64_t epoch) {
         if (m_lock.isHeld() && epoch > m_lock.getEpoch()) {
             m_lock.abandon();
@@ -76,10 +76,10 @@
     const auto onLink = [this](std::shared_ptr<Link> link) {
         m_leaderLink.handleLink(std::move(link));
     };
-    if (!m_transport.listen(m_links, onLink, reason)) {
+    if (!m_transport.listen(m_linkAddress, onLink, reason)) {
         return false;
     }
-    m_registration.start(getGatewayKey(m_links.toText()));
+    m_registration.start(getGatewayKey(m_linkAddress.toText()));
     m_configuration.start();
     m_lock.start();
     return true;
@@ -94,16 +94,16 @@
     return !m_jobs.isLeading() && m_leaderLink.isUsable();
 }
 
-void JobCore::relay(const IntakeRequest& request, Millis patience,
+void JobCore::relay(const IntakeRequest& request, Millis timeout,
                     std::function<void(const std::optional<IntakeAnswer>&)> done) {
-    RelayedRequest forward;
-    forward.m_method = request.m_method;
-    forward.m_host = request.m_host;
-    forward.m_path = request.m_path;
-    forward.m_key = request.m_key;
-    forward.m_body = request.m_body;
-    forward.m_remainingMs = static_cast<std::uint64_t>(patience.count());
-    m_leaderLink.relay(std::move(forward), patience,
+    RelayedRequest relayedRequest;
+    relayedRequest.m_method = request.m_method;
+    relayedRequest.m_host = request.m_host;
+    relayedRequest.m_path = request.m_path;
+    relayedRequest.m_key = request.m_key;
+    relayedRequest.m_body = request.m_body;
+    relayedRequest.m_remainingMs = static_cast<std::uint64_t>(timeout.count());
+    m_leaderLink.relay(std::move(relayedRequest), timeout,
                        [done = std::move(done)](const RelayedAnswer& answer) {
                            if (answer.m_status == 0) {
                                done(std::nullopt);
@@ -118,19 +118,19 @@
 
 void JobCore::answerRelayed(const RelayedRequest& request,
                             std::function<void(const RelayedAnswer&)> done) {
-    IntakeRequest asked;
-    asked.m_method = request.m_method;
-    asked.m_path = request.m_path;
-    asked.m_host = request.m_host;
-    asked.m_key = request.m_key;
-    asked.m_body = request.m_body;
-    asked.m_patience = Millis(request.m_remainingMs);
-    asked.m_isRelayed = true;
-    m_intake.handle(std::move(asked), [done = std::move(done)](const IntakeAnswer& answer) {
-        RelayedAnswer out;
-        out.m_status = answer.m_status;
-        out.m_body = answer.m_body;
-        done(out);
+    IntakeRequest intakeRequest;
+    intakeRequest.m_method = request.m_method;
+    intakeRequest.m_path = request.m_path;
+    intakeRequest.m_host = request.m_host;
+    intakeRequest.m_key = request.m_key;
+    intakeRequest.m_body = request.m_body;
+    intakeRequest.m_patience = Millis(request.m_remainingMs);
+    intakeRequest.m_isRelayed = true;
+    m_intake.handle(std::move(intakeRequest), [done = std::move(done)](const IntakeAnswer& answer) {
+        RelayedAnswer relayedAnswer;
+        relayedAnswer.m_status = answer.m_status;
+        relayedAnswer.m_body = answer.m_body;
+        done(relayedAnswer);
     });
 }
 
--- a/libs/control/src/JobTable.cpp
+++ b/libs/control/src/JobTable.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-bool isAbout(const PendingMessage& message, const std::string& task, std::uint32_t run) {
+/** Returns whether a message is the start or the stop of this run. */
+bool refersTo(const PendingMessage& message, const std::string& task, std::uint32_t run) {
     if (const auto* const order = std::get_if<RunOrder>(&message.m_frame)) {
         return order->m_task == task && order->m_run == run;
     }
@@ -19,10 +20,10 @@
 
 bool JobEntry::hasPendingMessage(const std::string& task, std::uint32_t run) const {
     const auto matches = [&](const PendingMessage& message) {
-        return isAbout(message, task, run);
+        return refersTo(message, task, run);
     };
-    return std::any_of(m_messages.begin(), m_messages.end(), matches) ||
-           std::any_of(m_messagesUnderWay.begin(), m_messagesUnderWay.end(), matches);
+    return std::any_of(m_pendingMessages.begin(), m_pendingMessages.end(), matches) ||
+           std::any_of(m_committingMessages.begin(), m_committingMessages.end(), matches);
 }
 
 }  // namespace pierbank
--- a/libs/control/src/WaveController.cpp
+++ b/libs/control/src/WaveController.cpp
@@ -15,10 +15,11 @@
 
 namespace {
 
-/** Pause before a call of the store that failed is made again. */
-constexpr Millis RETRY_PAUSE{500};
+/** Delay before a failed call to the store is repeated. */
+constexpr Millis RETRY_DELAY{500};
 
-std::optional<std::uint64_t> readNumber(std::string_view key, std::string_view prefix) {
+/** @return the wave's number that follows the prefix, or nothing if it is not a whole number. */
+std::optional<std::uint64_t> parseWaveNumber(std::string_view key, std::string_view prefix) {
     std::uint64_t number = 0;
     const std::string_view digits = key.substr(prefix.size());
     const auto* const end = digits.data() + digits.size();
@@ -58,10 +59,10 @@
     m_term.reset();
     m_loop.cancel(std::exchange(m_pollTimer, TimerId::NONE));
     m_waves.clear();
-    m_leaving.clear();
+    m_leavingWorkers.clear();
 }
 
-// What the operators ask for.
+// Loading and watching the requested waves.
 
 void WaveController::load() {
     m_store.list(WAVE_PREFIX, [this, term = std::weak_ptr(m_term)](const StoreList& list) {
@@ -69,11 +70,11 @@
             return;
         }
         if (list.m_status != StoreStatus::OK) {
-            m_loop.callLater(RETRY_PAUSE, guarded([this] { load(); }));
+            m_loop.callLater(RETRY_DELAY, guarded([this] { load(); }));
             return;
         }
         for (const StoreItem& item : list.m_items) {
-            learn(item);
+            addWave(item);
         }
         m_watchedTo = list.m_at;
         watch();
@@ -86,13 +87,13 @@
             return;
         }
         if (changes.m_status != StoreStatus::OK) {
-            m_loop.callLater(RETRY_PAUSE, guarded([this] { load(); }));
+            m_loop.callLater(RETRY_DELAY, guarded([this] { load(); }));
             return;
         }
         m_watchedTo = changes.m_at;
         for (const StoreEvent& event : changes.m_events) {
             if (!event.m_isDeleted) {
-                learn(event.m_item);
+                addWave(event.m_item);
             }
         }
         watch();
@@ -100,8 +101,8 @@
     m_store.watch(WAVE_PREFIX, m_watchedTo, m_settings.m_watchWait, onChanges);
 }
 
-void WaveController::learn(const StoreItem& item) {
-    const auto number = readNumber(item.m_key, WAVE_PREFIX);
+void WaveController::addWave(const StoreItem& item) {
+    const auto number = parseWaveNumber(item.m_key, WAVE_PREFIX);
     if (!number.has_value() || m_waves.count(*number) != 0) {
         return;
     }
@@ -124,7 +125,10 @@
     loadState(*number);
 }
 
-/** What an earlier leader began; a wave that it declared done needs nothing more. */
+/**
+ * Loads the machines whose upkeep an earlier leader has started, then continues the wave. The next
+ * poll finds nothing left to start in a wave that was finished before.
+ */
 void WaveController::loadState(std::uint64_t number) {
     m_store.read(getWaveStateKey(number), [this, number,
                                            term = std::weak_ptr(m_term)](const StoreRead& read) {
@@ -133,39 +137,39 @@
         }
         const bool isAbsent = read.m_status == StoreStatus::NOT_FOUND;
         if (read.m_status != StoreStatus::OK && !isAbsent) {
-            m_loop.callLater(RETRY_PAUSE, guarded([this, number] { loadState(number); }));
+            m_loop.callLater(RETRY_DELAY, guarded([this, number] { loadState(number); }));
             return;
         }
         Wave& wave = m_waves[number];
         wave.m_revision = read.m_item.m_revision;
-        const auto begun =
+        const auto started =
                 isAbsent ? std::nullopt : fromCbor<std::vector<std::string>>(read.m_item.m_value);
-        if (begun.has_value()) {
-            wave.m_begun.insert(begun->begin(), begun->end());
+        if (started.has_value()) {
+            wave.m_startedMachines.insert(started->begin(), started->end());
         }
-        write(wave);
+        persist(wave);
         pollLater();
     });
 }
 
-// Turns of machines.
+// Upkeep of machines.
 
-bool WaveController::isAnyOpen() const {
+bool WaveController::hasUnfinishedWaves() const {
     return std::any_of(m_waves.begin(), m_waves.end(),
                        [](const auto& entry) { return !entry.second.m_isDone; });
 }
 
 void WaveController::pollLater() {
-    if (m_pollTimer != TimerId::NONE || !isAnyOpen()) {
+    if (m_pollTimer != TimerId::NONE || !hasUnfinishedWaves()) {
         return;
     }
     m_pollTimer = m_loop.callLater(m_settings.m_pollInterval, guarded([this] {
                                        m_pollTimer = TimerId::NONE;
-                                       look();
+                                       pollMachines();
                                    }));
 }
 
-void WaveController::look() {
+void WaveController::pollMachines() {
     m_fleet.list([this, term = std::weak_ptr(m_term)](const MachineList& list) {
         if (term.expired()) {
             return;
@@ -179,89 +183,92 @@
         for (const Machine& machine : list.m_machines) {
             machines[machine.m_name] = machine;
         }
-        m_leaving.clear();
+        m_leavingWorkers.clear();
         for (auto& [number, wave] : m_waves) {
             if (!wave.m_isDone) {
                 advance(wave, machines);
             }
         }
-        m_schedule.setLeaving(m_leaving);
+        m_schedule.setLeavingWorkers(m_leavingWorkers);
     });
 }
 
 void WaveController::advance(Wave& wave, const std::map<std::string, Machine>& machines) {
-    std::size_t down = 0;
-    std::size_t open = 0;
-    std::vector<const Machine*> waiting;
+    std::size_t downCount = 0;
+    std::size_t unfinishedCount = 0;
+    std::vector<const Machine*> waitingMachines;
     for (const std::string& name : wave.m_spec.m_machines) {
         const auto found = machines.find(name);
         if (found == machines.end()) {
-            // Gone for good: nothing of it remains to be kept up.
+            // The machine no longer exists, so there is nothing left to maintain.
             continue;
         }
         const bool isUp = found->second.m_state == MachineState::UP;
-        const bool isBegun = wave.m_begun.count(name) != 0;
-        const bool isOrdered = wave.m_turns[name].m_isOrdered;
-        if (isBegun || isOrdered) {
-            down += isUp && !isOrdered ? 0 : 1;
+        const bool hasStarted = wave.m_startedMachines.count(name) != 0;
+        const bool isOrdered = wave.m_progress[name].m_isOrdered;
+        if (hasStarted || isOrdered) {
+            downCount += isUp && !isOrdered ? 0 : 1;
         } else {
-            waiting.push_back(&found->second);
+            waitingMachines.push_back(&found->second);
         }
-        open += isBegun ? 0 : 1;
+        unfinishedCount += hasStarted ? 0 : 1;
     }
-    if (open == 0) {
+    if (unfinishedCount == 0) {
         wave.m_isDone = true;
-        wave.m_mustWrite = true;
-        write(wave);
+        wave.m_isDirty = true;
+        persist(wave);
         return;
     }
-    // Those whose emptying has begun first, then those with the least to lose.
-    std::stable_sort(waiting.begin(), waiting.end(), [&](const Machine* a, const Machine* b) {
-        const auto rankOf = [&](const Machine* machine) {
-            const bool isWaiting = wave.m_turns[machine->m_name].m_emptyingSince == Millis(0);
-            return std::make_pair(isWaiting, m_schedule.getLoad(machine->m_workerId));
-        };
-        return rankOf(a) < rankOf(b);
-    });
-    for (const Machine* const machine : waiting) {
-        if (down >= wave.m_spec.m_cap) {
+    // Machines whose draining has started come first, then those with the lowest load.
+    std::stable_sort(waitingMachines.begin(), waitingMachines.end(),
+                     [&](const Machine* a, const Machine* b) {
+                         const auto rankOf = [&](const Machine* machine) {
+                             const bool isWaiting =
+                                     wave.m_progress[machine->m_name].m_drainingSince == Millis(0);
+                             return std::make_pair(isWaiting,
+                                                   m_schedule.getLoad(machine->m_workerId));
+                         };
+                         return rankOf(a) < rankOf(b);
+                     });
+    for (const Machine* const machine : waitingMachines) {
+        if (downCount >= wave.m_spec.m_cap) {
             break;
         }
         if (machine->m_state != MachineState::UP) {
             continue;
         }
-        ++down;
-        takeTurn(wave, *machine);
+        ++downCount;
+        advanceMachine(wave, *machine);
     }
 }
 
-Millis WaveController::getEmptyTime(const Wave& wave) const {
+Millis WaveController::getMaxDrainTime(const Wave& wave) const {
     const std::size_t cap = std::max<std::size_t>(1, wave.m_spec.m_cap);
-    const std::size_t rounds =
+    const std::size_t batches =
             std::max<std::size_t>(1, (wave.m_spec.m_machines.size() + cap - 1) / cap);
-    const auto turn =
-            static_cast<double>(wave.m_spec.m_duration.count()) / static_cast<double>(rounds);
-    return std::min(m_settings.m_emptyTime,
-                    Millis(static_cast<std::int64_t>(turn * m_settings.m_emptyShare)));
+    const auto batchTime =
+            static_cast<double>(wave.m_spec.m_duration.count()) / static_cast<double>(batches);
+    return std::min(m_settings.m_maxDrainTime,
+                    Millis(static_cast<std::int64_t>(batchTime * m_settings.m_maxDrainShare)));
 }
 
-void WaveController::takeTurn(Wave& wave, const Machine& machine) {
-    Turn& turn = wave.m_turns[machine.m_name];
-    if (turn.m_emptyingSince == Millis(0)) {
-        turn.m_emptyingSince = m_loop.now();
+void WaveController::advanceMachine(Wave& wave, const Machine& machine) {
+    MachineProgress& machineProgress = wave.m_progress[machine.m_name];
+    if (machineProgress.m_drainingSince == Millis(0)) {
+        machineProgress.m_drainingSince = m_loop.now();
     }
-    // One that was refused works on: the platform may refuse it for good.
-    const bool wasRefused = turn.m_pause > Millis(0);
+    // A worker whose upkeep was refused keeps getting work: the platform may never permit it.
+    const bool wasRefused = machineProgress.m_retryDelay > Millis(0);
     if (!machine.m_workerId.empty() && !wasRefused) {
-        m_leaving.insert(machine.m_workerId);
+        m_leavingWorkers.insert(machine.m_workerId);
     }
     const WorkerLoad load = m_schedule.getLoad(machine.m_workerId);
-    const bool isOverdue = m_loop.now() - turn.m_emptyingSince >= getEmptyTime(wave);
-    const bool mayGo = load == WorkerLoad::IDLE || (load == WorkerLoad::BUSY && isOverdue);
-    if (!mayGo || m_loop.now() < turn.m_retryAt) {
+    const bool isOverdue = m_loop.now() - machineProgress.m_drainingSince >= getMaxDrainTime(wave);
+    const bool canBeTakenDown = load == WorkerLoad::IDLE || (load == WorkerLoad::BUSY && isOverdue);
+    if (!canBeTakenDown || m_loop.now() < machineProgress.m_retryAt) {
         return;
     }
-    turn.m_isOrdered = true;
+    machineProgress.m_isOrdered = true;
     const std::uint64_t number = wave.m_spec.m_number;
     m_fleet.beginUpkeep({machine.m_name, number, m_settings.m_node, m_epoch},
                         [this, number, name = machine.m_name,
@@ -275,51 +282,54 @@
 void WaveController::handleOrdered(std::uint64_t number, const std::string& machine,
                                    MachineOrderStatus status) {
     Wave& wave = m_waves[number];
-    Turn& turn = wave.m_turns[machine];
-    turn.m_isOrdered = false;
-    const bool isBegun = status == MachineOrderStatus::DONE;
-    logEvent(isBegun ? Severity::INFO : Severity::WARNING, "waves",
-             isBegun ? "upkeep-begun" : "upkeep-refused",
+    MachineProgress& machineProgress = wave.m_progress[machine];
+    machineProgress.m_isOrdered = false;
+    const bool hasStarted = status == MachineOrderStatus::DONE;
+    logEvent(hasStarted ? Severity::INFO : Severity::WARNING, "waves",
+             hasStarted ? "upkeep-begun" : "upkeep-refused",
              {{"wave", std::to_string(number)},
               {"machine", machine},
               {"status", std::to_string(static_cast<int>(status))}});
-    if (isBegun) {
-        wave.m_begun.insert(machine);
-        wave.m_mustWrite = true;
-        write(wave);
+    if (hasStarted) {
+        wave.m_startedMachines.insert(machine);
+        wave.m_isDirty = true;
+        persist(wave);
         return;
     }
-    turn.m_pause = std::clamp(turn.m_pause * 2, m_settings.m_pause, m_settings.m_longestPause);
-    turn.m_retryAt = m_loop.now() + turn.m_pause;
+    machineProgress.m_retryDelay =
+            std::clamp(machineProgress.m_retryDelay * 2, m_settings.m_minRetryDelay,
+                       m_settings.m_maxRetryDelay);
+    machineProgress.m_retryAt = m_loop.now() + machineProgress.m_retryDelay;
 }
 
-// What is kept.
+// Persisting the progress.
 
-void WaveController::write(Wave& wave) {
-    if (wave.m_isWriting || !wave.m_mustWrite) {
+void WaveController::persist(Wave& wave) {
+    if (wave.m_isPersisting || !wave.m_isDirty) {
         return;
     }
-    wave.m_isWriting = true;
-    wave.m_mustWrite = false;
+    wave.m_isPersisting = true;
+    wave.m_isDirty = false;
     const std::uint64_t number = wave.m_spec.m_number;
-    const std::vector<std::string> begun(wave.m_begun.begin(), wave.m_begun.end());
+    const std::vector<std::string> started(wave.m_startedMachines.begin(),
+                                           wave.m_startedMachines.end());
     StoreTransaction transaction;
     transaction.m_conditions = {{std::string(LEADER_KEY), m_epoch},
                                 {getWaveStateKey(number), wave.m_revision}};
-    transaction.m_puts = {{getWaveStateKey(number), toCbor(begun), 0},
+    transaction.m_puts = {{getWaveStateKey(number), toCbor(started), 0},
                           {getWaveStatusKey(number), m_codec.writeWaveStatus(wave.m_isDone), 0}};
-    CommitRetryPolicy patience;
-    patience.m_retriesRefusals = true;
+    CommitRetryPolicy retryPolicy;
+    retryPolicy.m_retriesRefusals = true;
     CommitResolver::run(
-            m_store, m_loop, std::move(transaction), patience, m_term,
-            [this, number](const StoreCommit& commit) { handleWritten(number, commit); });
+            m_store, m_loop, std::move(transaction), retryPolicy, m_term,
+            [this, number](const StoreCommit& commit) { handlePersisted(number, commit); });
 }
 
-void WaveController::handleWritten(std::uint64_t number, const StoreCommit& commit) {
+void WaveController::handlePersisted(std::uint64_t number, const StoreCommit& commit) {
     Wave& wave = m_waves[number];
-    wave.m_isWriting = false;
+    wave.m_isPersisting = false;
     if (commit.m_status != StoreStatus::OK) {
-        // Another leader: it goes on from what was kept.
+        // Leadership was lost; the next leader continues from the stored state.
         logEvent(Severity::WARNING, "waves", "not-kept",
                  {{"wave", std::to_string(number)}, {"reason", commit.m_reason}});
         return;
@@ -327,9 +337,9 @@
     wave.m_revision = commit.m_revision;
     logEvent(Severity::INFO, "waves", "kept",
              {{"wave", std::to_string(number)},
-              {"begun", std::to_string(wave.m_begun.size())},
+              {"begun", std::to_string(wave.m_startedMachines.size())},
               {"done", wave.m_isDone ? "yes" : "no"}});
-    write(wave);
+    persist(wave);
 }
 
 }  // namespace pierbank
