--- a/libs/control/include/pierbank/control/JobController.h
+++ b/libs/control/include/pierbank/control/JobController.h
@@ -56,8 +56,7 @@
     bool m_scoresHosts = true;
     /** Whether stalled hosts get no new work and their runs may be restarted on other hosts. */
     bool m_detectsStalls = true;
-    /** Whether urgent work prefers hosts that were observed to be fast and other work avoids them.
-     */
+    /** Whether urgent work prefers hosts that were observed to be fast, which other work avoids. */
     bool m_learnsSpeeds = true;
     /**
      * Factor by which a cold worker's slowness is multiplied, so that urgent work prefers warmed-up
@@ -78,8 +77,8 @@
     Millis m_slowPlanThreshold{20};
     /**
      * Duration of one long-polling watch call. A watch whose connection was cut may report no
-     * error, so this value bounds how long the leader can miss changes. It is chosen for that
-     * bound, not for the cost of the calls.
+     * error until this time has passed, so the value bounds how long the leader can miss changes.
+     * That bound, not the cost of the calls, determines the value.
      */
     Millis m_watchWait{800};
     /**
@@ -143,7 +142,9 @@
     std::uint64_t m_lost = 0;
     /** Runs revoked because their failure domain is under evacuation. */
     std::uint64_t m_revoked = 0;
+    /** Transactions with decisions that were sent to the store. */
     std::uint64_t m_commits = 0;
+    /** Plans that were made and applied. */
     std::uint64_t m_plans = 0;
     /** Duration of planning. */
     LatencySummary m_planTime;
@@ -191,6 +192,7 @@
     void lead(StoreRevision epoch, std::function<Millis()> getConfirmedAt);
     /** Ends the term and discards its state; callbacks that are still pending are ignored. */
     void stepDown();
+    /** Returns whether a term of leadership is in progress. */
     bool isLeading() const noexcept { return m_isLeading; }
     /** Plans anew and sends the changed configuration's revision to the linked gateways. */
     void handleConfiguration();
@@ -199,7 +201,9 @@
         m_getFitness = std::move(getFitness);
     }
 
+    /** Returns the jobs that the leader knows; empty while it does not lead. */
     const JobTable& getJobs() const noexcept { return m_jobs; }
+    /** Returns the hosts that the leader knows, with their links and last notices. */
     const WorkerPool& getWorkers() const noexcept { return m_workers; }
     /**
      * Returns why a plan made now would leave a job in its state; empty if the plan gives no
@@ -220,7 +224,9 @@
     std::optional<Millis> getColdUntil(const std::string& host) const;
     /** Returns the plan that would result if the job were submitted now, without applying it. */
     TaskPlan tryPlan(const JobRecord& record) const;
+    /** Returns the counters and latencies, which a change of leadership does not reset. */
     const JobStatistics& getStatistics() const noexcept { return m_statistics; }
+    /** Returns the weight, 0 to 100, that plans use; see updateWeight(). */
     std::uint32_t getFragmentationWeight() const noexcept { return m_currentFragmentationWeight; }
     /** Returns an operator's decision about a worker; RELEASE if there is none. */
     WorkerAdminState getAdminState(const std::string& host) const;
@@ -228,6 +234,7 @@
     const EvacuationFeed& getEvacuations() const noexcept { return m_evacuations; }
     /** Returns whether an operator's statement evacuates a failure domain. */
     bool isEvacuatedByStatement(std::string_view domain) const;
+    /** Returns the failure domains that operators' statements evacuate. */
     const std::set<std::string, std::less<>>& getStatementEvacuations() const noexcept {
         return m_statementEvacuations;
     }
@@ -360,7 +367,7 @@
     void sendEndsPersisted(const WorkerId& worker);
     void removeFinishedJobs();
     void tick();
-    void abandonLeadership(std::string_view why);
+    void abandonLeadership(std::string_view reason);
     /** Wraps a task so that it does nothing once the current term has ended. */
     std::function<void()> guarded(std::function<void()> task);
 
--- a/libs/control/include/pierbank/control/JobCore.h
+++ b/libs/control/include/pierbank/control/JobCore.h
@@ -53,14 +53,18 @@
     /** Gives up the leadership for good, so that another gateway can take it over. */
     void release() { m_lock.release(); }
 
+    /** Returns the handler of requests about jobs. */
     JobIntake& getIntake() noexcept { return m_intake; }
+    /** Returns the operators' configuration as this gateway knows it. */
     const ConfigurationFeed& getConfiguration() const noexcept { return m_configuration; }
     /**
      * Returns whether requests can be served: the store was reached within `maxAge`, or this
      * gateway has a usable link to another leader.
      */
     bool isReady(Millis maxAge) const;
+    /** Returns the state of this gateway's candidacy and leadership. */
     const LeaderLock& getLock() const noexcept { return m_lock; }
+    /** Returns the job controller, which has state only while this gateway leads. */
     const JobController& getJobs() const noexcept { return m_jobs; }
 
 private:
@@ -77,6 +81,7 @@
     void countPending(std::function<void(const std::optional<PendingJobs>&)> done) override {
         m_leaderLink.queryPending(std::move(done));
     }
+    /** Answers, as the leader, a request that another gateway relayed. */
     void answerRelayed(const RelayedRequest& request,
                        std::function<void(const RelayedAnswer&)> done);
 
--- a/libs/control/include/pierbank/control/StoreKeys.h
+++ b/libs/control/include/pierbank/control/StoreKeys.h
@@ -58,6 +58,7 @@
 /** Audit trail: changes made by operators' statements, by number. */
 inline constexpr std::string_view AUDIT_PREFIX = "audit/";
 
+/** Returns the key of an accepted job. The functions below return the keys under their prefixes. */
 inline std::string getJobKey(std::string_view id) {
     return std::string(JOB_PREFIX).append(id);
 }
--- a/libs/control/src/JobController.cpp
+++ b/libs/control/src/JobController.cpp
@@ -89,9 +89,10 @@
     m_leavingWorkers.clear();
 }
 
-void JobController::abandonLeadership(std::string_view why) {
+/** Ends the term and invokes the callback of onLeadershipLost(). */
+void JobController::abandonLeadership(std::string_view reason) {
     logEvent(Severity::WARNING, "jobs", "disowned",
-             {{"epoch", std::to_string(m_epoch)}, {"reason", std::string(why)}});
+             {{"epoch", std::to_string(m_epoch)}, {"reason", std::string(reason)}});
     stepDown();
     m_onLeadershipLost();
 }
@@ -168,6 +169,7 @@
     return m_isPlanStale || m_loop.now() - m_plannedAt >= interval;
 }
 
+/** Ends the unfinished jobs whose cancel was requested, and queues the stops of their runs. */
 void JobController::applyCancels() {
     for (auto& [id, entry] : m_jobs) {
         if (!entry.m_isCancelRequested || entry.m_run.isFinished()) {
@@ -182,6 +184,7 @@
     }
 }
 
+/** Adds the due occurrences of timed jobs. */
 void JobController::addOccurrences() {
     for (auto& [id, entry] : m_jobs) {
         if (addDueOccurrences(entry.m_record, entry.m_run, m_loop.wallNow())) {
@@ -191,6 +194,7 @@
     }
 }
 
+/** Makes a plan and applies its placements, speculative copies and stops. */
 void JobController::plan() {
     requestTickets();
     std::vector<AdvisedWorkers> advised;
@@ -308,10 +312,12 @@
     }
 }
 
+/** Returns whether an incarnation's worker is drained for upkeep. */
 bool JobController::isLeaving(std::string_view incarnation) const {
     return !m_leavingWorkers.empty() && m_leavingWorkers.count(getWorkerIdOf(incarnation)) != 0;
 }
 
+/** Performs the periodic work; the step that it schedules also covers due occurrences. */
 void JobController::tick() {
     removeFinishedJobs();
     resendLostOrders();
--- a/libs/control/src/JobControllerCommits.cpp
+++ b/libs/control/src/JobControllerCommits.cpp
@@ -73,6 +73,10 @@
                         [this, ids](const StoreCommit& commit) { handleCommitted(ids, commit); });
 }
 
+/**
+ * Sends the messages that waited for the transaction and marks its ends as persisted. Any failure
+ * ends the leadership, since the state in memory then differs from the store.
+ */
 void JobController::handleCommitted(const std::vector<std::string>& ids,
                                     const StoreCommit& commit) {
     m_isCommitting = false;
--- a/libs/control/src/JobControllerLosses.cpp
+++ b/libs/control/src/JobControllerLosses.cpp
@@ -144,8 +144,10 @@
 }
 
 /**
- * Records a category for each run that was on the crashed worker. The crash may be reported long
- * after its runs were released, and to another leader than the one that released them.
+ * Records a category for each run of an unfinished task that was on the crashed worker; the runs
+ * count as bystanders if the worker was leaving, which may explain the crash. The crash may be
+ * reported long after its runs were released, and to another leader than the one that released
+ * them.
  */
 void JobController::classifyCrash(const std::string& host, const WorkerCrash& crash) {
     std::vector<CrashedRun> runs;
--- a/libs/control/src/JobControllerOrders.cpp
+++ b/libs/control/src/JobControllerOrders.cpp
@@ -8,6 +8,7 @@
 
 namespace pierbank {
 
+/** Applies the planned placements to the jobs and queues the start orders. */
 void JobController::place(const std::vector<Placement>& placements) {
     // The members of a gang share one run number.
     std::map<TaskKey, std::uint32_t> gangRuns;
@@ -111,7 +112,7 @@
                    RunStop{m_epoch, run.m_worker.m_incarnation, name, run.m_run});
 }
 
-/** Queues the stops of runs, which are already marked as stopping, until after the next commit. */
+/** Queues the stops of runs that are marked as stopping; the next commit of the job sends them. */
 void JobController::queueStops(JobEntry& entry, const std::vector<ActiveRun>& runs) {
     for (const ActiveRun& run : runs) {
         entry.m_isDirty = true;
@@ -121,6 +122,7 @@
     }
 }
 
+/** Returns whether the host is avoided for its failure score. */
 bool JobController::isAvoided(const std::string& host) const {
     return m_settings.m_scoresHosts && m_health.isAvoided(host, m_loop.now());
 }
--- a/libs/control/src/JobControllerReports.cpp
+++ b/libs/control/src/JobControllerReports.cpp
@@ -261,6 +261,7 @@
     }
 }
 
+/** Releases a run that its worker neither runs nor will start, for the reason that it reports. */
 void JobController::handleRunAbsent(const std::string& host, const RunAbsent& absent) {
     const auto key = TaskKey::parse(absent.m_task);
     const auto found = key.has_value() ? m_jobs.find(key->m_job) : m_jobs.end();
--- a/libs/control/src/JobControllerStore.cpp
+++ b/libs/control/src/JobControllerStore.cpp
@@ -19,6 +19,7 @@
 
 }  // namespace
 
+/** Lists the leader's input, then the jobs' runs; starts over if a call fails. */
 void JobController::load() {
     m_store.list(INPUT_PREFIX, [this, term = std::weak_ptr(m_term)](const StoreList& input) {
         if (term.expired()) {
@@ -145,6 +146,7 @@
     invalidatePlan();
 }
 
+/** Sets the fragmentation weight from a number of 0 to 100; reports and ignores any other text. */
 void JobController::updateWeight(std::string_view text) {
     constexpr std::uint32_t MAX_WEIGHT = 100;
     std::uint32_t weight = 0;
@@ -192,6 +194,7 @@
     return hosts;
 }
 
+/** Adds a job from its record in the store, unless it is known or its run can't be decoded. */
 void JobController::addJob(const StoreItem& item) {
     const std::string id = item.m_key.substr(JOB_PREFIX.size());
     if (m_jobs.count(id) != 0 || m_unreadableRuns.count(id) != 0) {
@@ -219,6 +222,10 @@
     m_jobs.emplace(id, std::move(entry));
 }
 
+/**
+ * Loads the committed run of a job. A run without a record belongs to a finished job whose input
+ * has been removed; an unfinished one is reported as an error.
+ */
 void JobController::addRun(const StoreItem& item) {
     const std::string id = item.m_key.substr(RUN_PREFIX.size());
     auto run = decodeJobRun(item.m_value);
--- a/libs/control/src/JobCore.cpp
+++ b/libs/control/src/JobCore.cpp
@@ -32,6 +32,7 @@
     connectLeader();
 }
 
+/** Connects the leader lock to the candidacy and to the parts that depend on leadership. */
 void JobCore::connectLock() {
     m_lock.setElectionDelayProvider([this] { return m_bid.drawElectionDelay(); });
     m_lock.setLeaderProbe([this] { return m_leaderLink.isUsable(); });
@@ -51,6 +52,7 @@
     });
 }
 
+/** Connects the link to the leader and, for when this gateway leads, the job controller. */
 void JobCore::connectLeader() {
     // Reveals to a leader that can't reach the store that another gateway has superseded it.
     m_leaderLink.onLeader([this](std::uint64_t epoch) {
--- a/libs/control/src/WaveController.cpp
+++ b/libs/control/src/WaveController.cpp
@@ -101,6 +101,7 @@
     m_store.watch(WAVE_PREFIX, m_watchedTo, m_settings.m_watchWait, onChanges);
 }
 
+/** Adds a wave from its key and value; a wave that is known already does not change. */
 void WaveController::addWave(const StoreItem& item) {
     const auto number = parseWaveNumber(item.m_key, WAVE_PREFIX);
     if (!number.has_value() || m_waves.count(*number) != 0) {
@@ -169,6 +170,7 @@
                                    }));
 }
 
+/** Lists the machines and advances all unfinished waves; the schedule gets the drained workers. */
 void WaveController::pollMachines() {
     m_fleet.list([this, term = std::weak_ptr(m_term)](const MachineList& list) {
         if (term.expired()) {
@@ -193,6 +195,10 @@
     });
 }
 
+/**
+ * Advances the machines of a wave up to its limit of machines that are down at once, or finishes
+ * the wave if the upkeep of all its machines has started.
+ */
 void WaveController::advance(Wave& wave, const std::map<std::string, Machine>& machines) {
     std::size_t downCount = 0;
     std::size_t unfinishedCount = 0;
@@ -242,6 +248,7 @@
     }
 }
 
+/** @return the maximum time for draining a worker, derived from the wave's time for one batch. */
 Millis WaveController::getMaxDrainTime(const Wave& wave) const {
     const std::size_t cap = std::max<std::size_t>(1, wave.m_spec.m_cap);
     const std::size_t batches =
@@ -252,6 +259,10 @@
                     Millis(static_cast<std::int64_t>(batchTime * m_settings.m_maxDrainShare)));
 }
 
+/**
+ * Drains a machine's worker, and orders the upkeep once the worker is idle or has been drained for
+ * the maximum time. An uninterruptible worker is never taken down.
+ */
 void WaveController::advanceMachine(Wave& wave, const Machine& machine) {
     MachineProgress& machineProgress = wave.m_progress[machine.m_name];
     if (machineProgress.m_drainingSince == Millis(0)) {
@@ -279,6 +290,7 @@
                         });
 }
 
+/** Records the start of a machine's upkeep, or schedules the next attempt of a refused order. */
 void WaveController::handleOrdered(std::uint64_t number, const std::string& machine,
                                    MachineOrderStatus status) {
     Wave& wave = m_waves[number];
@@ -304,6 +316,7 @@
 
 // Persisting the progress.
 
+/** Writes a wave's changed state and status to the store, unless a write is pending. */
 void WaveController::persist(Wave& wave) {
     if (wave.m_isPersisting || !wave.m_isDirty) {
         return;
