--- a/libs/control/include/pierbank/control/JobController.h
+++ b/libs/control/include/pierbank/control/JobController.h
@@ -45,8 +45,8 @@
      */
     Millis m_startTimeout{1000};
     /**
-     * Whether capacity is reserved for urgent work according to its observed arrivals. Simulated
-     * days suggest a small gain.
+     * Whether capacity is reserved for urgent work according to its observed arrivals. The gain is
+     * small in simulations.
      */
     bool m_reservesHeadroom = true;
     /**
@@ -226,7 +226,8 @@
     TaskPlan tryPlan(const JobRecord& record) const;
     /** Returns the counters and latencies, which a change of leadership does not reset. */
     const JobStatistics& getStatistics() const noexcept { return m_statistics; }
-    /** Returns the weight, 0 to 100, that plans use; see updateWeight(). */
+    /** Returns the weight, 0 to 100, that plans use: the last one set by an operator's statement.
+     */
     std::uint32_t getFragmentationWeight() const noexcept { return m_currentFragmentationWeight; }
     /** Returns an operator's decision about a worker; RELEASE if there is none. */
     WorkerAdminState getAdminState(const std::string& host) const;
@@ -292,13 +293,13 @@
     // Prepares the planner's input (JobControllerView.cpp).
     TaskPlanner makePlanner() const;
     TaskPlan makePlan(const std::vector<PlannedJob>& jobs, bool withExplanations) const;
-    std::vector<PlannedJob> listJobs(std::vector<AdvisedWorkers>& advised) const;
+    std::vector<PlannedJob> listJobs(std::vector<AdvisedWorkers>& advisedWorkers) const;
     const std::vector<WorkerSnapshot>& getWorkerSnapshots() const;
     void rebuildWorkerSnapshots() const;
     void updateSnapshot(WorkerSnapshot& snapshot, const WorkerPool::Host& host) const;
     void requestTickets();
     bool mayPreempt() const;
-    void recordPlanTime(Millis took, const TaskPlan& plan);
+    void recordPlanTime(Millis duration, const TaskPlan& plan);
     void logUrgentWaits(const TaskPlan& plan);
     const std::string* findHostOf(std::string_view worker) const;
     bool isLeaving(std::string_view incarnation) const;
@@ -412,7 +413,7 @@
     /** Whether the plan's input has changed since the last plan. */
     bool m_isPlanStale = true;
     /** Ids of the urgent jobs that waited in the last plan. */
-    std::set<std::string, std::less<>> m_urgentWaiting;
+    std::set<std::string, std::less<>> m_waitingUrgentJobs;
     /** Number of units that the last plan left waiting. */
     std::size_t m_waitingUnits = 0;
     Millis m_plannedAt{0};
--- a/libs/control/src/JobController.cpp
+++ b/libs/control/src/JobController.cpp
@@ -74,7 +74,7 @@
     m_isPlanStale = true;
     m_areSnapshotsStale = true;
     m_waitingUnits = 0;
-    m_urgentWaiting.clear();
+    m_waitingUrgentJobs.clear();
     m_earlyCancels.clear();
     m_health.clear();
     m_capacityRefusals.clear();
@@ -98,9 +98,10 @@
 }
 
 std::string JobController::getNote(const std::string& job) const {
-    std::vector<AdvisedWorkers> advised;
+    std::vector<AdvisedWorkers> advisedWorkers;
     std::string text;
-    for (const PlanExplanation& explanation : makePlan(listJobs(advised), true).m_explanations) {
+    for (const PlanExplanation& explanation :
+         makePlan(listJobs(advisedWorkers), true).m_explanations) {
         if (explanation.m_job == job) {
             text = explanation.m_text;
         }
@@ -197,9 +198,9 @@
 /** Makes a plan and applies its placements, speculative copies and stops. */
 void JobController::plan() {
     requestTickets();
-    std::vector<AdvisedWorkers> advised;
+    std::vector<AdvisedWorkers> advisedWorkers;
     const Millis startedAt = m_loop.now();
-    const TaskPlan plan = makePlan(listJobs(advised), false);
+    const TaskPlan plan = makePlan(listJobs(advisedWorkers), false);
     m_isPlanStale = false;
     m_waitingUnits = plan.m_waiting;
     m_plannedAt = m_loop.now();
@@ -215,14 +216,14 @@
     }
 }
 
-void JobController::recordPlanTime(Millis took, const TaskPlan& plan) {
+void JobController::recordPlanTime(Millis duration, const TaskPlan& plan) {
     ++m_statistics.m_plans;
-    m_statistics.m_planTime.add(took);
-    if (took <= m_settings.m_slowPlanThreshold) {
+    m_statistics.m_planTime.add(duration);
+    if (duration <= m_settings.m_slowPlanThreshold) {
         return;
     }
     logEvent(Severity::WARNING, "jobs", "slow-plan",
-             {{"took_ms", std::to_string(took.count())},
+             {{"took_ms", std::to_string(duration.count())},
               {"jobs", std::to_string(m_jobs.size())},
               {"workers", std::to_string(m_snapshots.size())},
               {"placed", std::to_string(plan.m_placements.size())},
@@ -247,13 +248,13 @@
                   {"age_ms",
                    std::to_string((m_loop.wallNow() - entry.m_record.m_acceptedAt).count())}});
     }
-    for (const std::string& id : m_urgentWaiting) {
+    for (const std::string& id : m_waitingUrgentJobs) {
         const auto found = m_jobs.find(id);
         if (waiting.count(id) == 0 && found != m_jobs.end()) {
             found->second.m_waitCause.reset();
         }
     }
-    m_urgentWaiting = std::move(waiting);
+    m_waitingUrgentJobs = std::move(waiting);
 }
 
 // Workers that are drained or quarantined.
--- a/libs/control/src/JobControllerView.cpp
+++ b/libs/control/src/JobControllerView.cpp
@@ -94,18 +94,19 @@
            m_loop.now() - (m_loop.wallNow() - activeRun->m_placedAt) < *coldUntil;
 }
 
-/** @param advised receives the advised workers that the result points to; must outlive it. */
-std::vector<PlannedJob> JobController::listJobs(std::vector<AdvisedWorkers>& advised) const {
+/** @param advisedWorkers receives the advised workers that the result points to; must outlive it.
+ */
+std::vector<PlannedJob> JobController::listJobs(std::vector<AdvisedWorkers>& advisedWorkers) const {
     std::vector<PlannedJob> jobs;
-    advised.reserve(m_jobs.size());
+    advisedWorkers.reserve(m_jobs.size());
     for (const auto& [id, entry] : m_jobs) {
         if (!entry.m_hasInput) {
             continue;
         }
         PlannedJob job{&entry.m_record, &entry.m_run, nullptr};
         if (entry.m_record.m_policy.m_advice.has_value()) {
-            advised.push_back(m_ticketCache.getAdvised(id));
-            job.m_advised = &advised.back();
+            advisedWorkers.push_back(m_ticketCache.getAdvised(id));
+            job.m_advised = &advisedWorkers.back();
         }
         jobs.push_back(job);
     }
@@ -169,8 +170,8 @@
 }
 
 TaskPlan JobController::tryPlan(const JobRecord& record) const {
-    std::vector<AdvisedWorkers> advised;
-    std::vector<PlannedJob> jobs = listJobs(advised);
+    std::vector<AdvisedWorkers> advisedWorkers;
+    std::vector<PlannedJob> jobs = listJobs(advisedWorkers);
     const JobRun run = makeJobRun(record);
     jobs.push_back({&record, &run, nullptr});
     return makePlan(jobs, true);
