--- a/libs/control/include/pierbank/control/IncarnationRuns.h
+++ b/libs/control/include/pierbank/control/IncarnationRuns.h
@@ -15,41 +15,51 @@
 namespace pierbank {
 
 /**
- * What a sidecar saw begin on its worker in the worker's present life. A worker that has crashed
- * tells nothing any more; which runs can have had to do with it only its sidecar knows. An order
- * that was refused, or went out when the worker did not answer any more, proves nothing.
+ * Tracks the runs that a sidecar saw start during the present incarnation of its worker. A crashed
+ * worker reports nothing, so only its sidecar can list the runs that may have been involved in the
+ * crash. Runs whose start was refused, or was sent after the worker stopped answering, are not
+ * counted.
  */
 class IncarnationRuns {
 public:
     using RunKey = std::pair<TaskKey, std::uint32_t>;
 
-    /** A start goes out. */
+    /** Records that a start was sent. Ignored while the worker is unresponsive. */
     void recordSent(const RunKey& run, Millis now);
-    /** The worker said that it runs. */
+    /** Records that the worker confirmed the run as running. */
     void recordStarted(const RunKey& run, Millis now);
-    /** It is not there and never was, or never will be. */
+    /** Records that the run never started, or has been prevented from starting. */
     void recordAbsent(const RunKey& run) { m_runs.erase(run); }
-    /** The worker answered a look. */
+    /** Records the runs that the worker listed in its answer to a poll. */
     void recordPoll(std::span<const ListedRun> running, std::span<const ListedEnd> ended,
                     Millis now);
-    /** The worker did not answer. */
+    /** Records that a call to the worker remained without an answer. */
     void recordNoAnswer(Millis now);
-    /** @return what had begun or may have, the youngest first; the account begins anew. */
+    /**
+     * Ends the incarnation and starts tracking the next one.
+     *
+     * @return the runs that had started or may have started, latest start first, with the time that
+     * each had run before the worker stopped answering.
+     */
     std::vector<CrashedRunEntry> endIncarnation(Millis now);
 
 private:
     struct Run {
-        Millis m_since{0};
+        /** When the start was sent, or when the run was first reported as running. */
+        Millis m_startedAt{0};
+        /** Whether the worker confirmed that the run was running. */
         bool m_isConfirmed = false;
-        /** Looks in a row that did not list it although it had begun. */
-        unsigned m_missed = 0;
+        /**
+         * Number of consecutive polls that did not list the run although its start was confirmed.
+         */
+        unsigned m_missedPolls = 0;
     };
 
-    void forgetMissing(std::span<const ListedRun> running);
+    void removeMissing(std::span<const ListedRun> running);
 
     std::map<RunKey, Run> m_runs;
-    /** Since when the worker has not answered; empty while it does. */
-    std::optional<Millis> m_silentSince;
+    /** When the worker stopped answering; empty while it answers. */
+    std::optional<Millis> m_unresponsiveSince;
 };
 
 }  // namespace pierbank
--- a/libs/control/include/pierbank/control/PendingOrders.h
+++ b/libs/control/include/pierbank/control/PendingOrders.h
@@ -16,63 +16,88 @@
 
 namespace pierbank {
 
-/** What a PendingOrders needs to know of its worker. */
+/** Access of PendingOrders to its worker. Implemented by the owner of the PendingOrders. */
 class OrderContext {
 public:
     virtual ~OrderContext() = default;
+    /** Returns the target worker and the present fence. */
     virtual WorkerCall getCall() const = 0;
-    /** The end of the worker's lease on its own clock; empty when there is no lease to start on. */
+    /**
+     * Returns the end of the lease on the steady clock of the worker; empty if there is no lease
+     * under which a run may be started.
+     */
     virtual std::optional<Millis> getStartLease() const = 0;
+    /** Returns whether the last poll listed the run as running. */
     virtual bool isListed(const TaskKey& task, std::uint32_t run) const = 0;
+    /** Returns whether the last poll listed the run as finished. */
     virtual bool isEnded(const TaskKey& task, std::uint32_t run) const = 0;
-    /** Looks at the worker once more. @return number of that look; looks count up. */
+    /**
+     * Polls the worker once more.
+     *
+     * @return number of this poll; the numbers increase.
+     */
     virtual std::uint64_t pollAgain() = 0;
-    /** A start goes out. */
+    /** Records that a start is being sent. */
     virtual void recordSent(const TaskKey& task, std::uint32_t run) = 0;
-    /** The worker said that the run is there. */
+    /** Records that the worker confirmed the run as running. */
     virtual void recordStarted(const TaskKey& task, std::uint32_t run) = 0;
-    /** The worker surely did not begin it. */
+    /** Records that the worker has certainly not started the run. */
     virtual void recordRefused(const TaskKey& task, std::uint32_t run) = 0;
-    /** The run is not there and never will be. */
+    /** Reports that the run is not on the worker and can no longer start there. */
     virtual void reportAbsent(const TaskKey& task, std::uint32_t run, std::string_view reason) = 0;
 };
 
+/** Settings of PendingOrders. */
 struct PendingOrdersSettings {
-    /** Tries of a start without an answer before the run is barred. */
-    std::uint32_t m_startTries = 3;
-    /** Pause before a stop that failed is sent again. */
-    Millis m_pause{150};
+    /** Number of unanswered attempts to start a run after which the start is prevented. */
+    std::uint32_t m_maxStartTries = 3;
+    /** Delay before a failed stop is sent again. */
+    Millis m_retryDelay{150};
     /**
-     * No try begins so long after the order came: what the leader knew of the failure domain then
-     * may hold no more. Three tries of 0.7 s begin within 1.4 s; an order that waits for a lease
-     * would wait for as long as that takes.
+     * Maximum age of an order at the beginning of an attempt. The state of the failure domain on
+     * which the leader based the order may have changed since. Three attempts of 0.7 s each begin
+     * within 1.4 s. Without this limit, an order would wait for a lease for any length of time.
      */
-    Millis m_orderLife{1500};
+    Millis m_maxOrderAge{1500};
 };
 
 /**
- * The leader's orders to a worker, each until it is known how it went. A start whose answer is
- * lost may take effect seconds later: it is tried again, and then barred by a stop; a look that was
- * sent after the bar shows whether the run was there at all.
+ * Keeps the leader's orders to a worker until their outcome is known. A start whose answer is lost
+ * may take effect seconds later. Such a start is repeated. After the last attempt, a stop prevents
+ * it from taking effect, and a poll that is sent after this stop shows whether the run had started.
+ *
+ * Owned by the sidecar's agent; used on the event loop only.
  */
 class PendingOrders {
 public:
-    /** The references must outlive the book. */
+    /** The references must outlive the object. */
     PendingOrders(EventLoop& loop, TaskWorker& worker, OrderContext& context,
                   const PendingOrdersSettings& settings)
             : m_loop(loop), m_worker(worker), m_context(context), m_settings(settings) {}
     PendingOrders(const PendingOrders&) = delete;
     PendingOrders& operator=(const PendingOrders&) = delete;
 
-    /** Does nothing for a run that has an order. */
+    /**
+     * Starts a run as soon as there is a lease. Has no effect for a run that has a pending order.
+     */
     void start(const TaskKey& task, const RunOrder& order);
-    /** Stops a run, or sees to it that it never begins. */
+    /**
+     * Stops a run, or prevents it from ever starting.
+     *
+     * @param reason is reported with the absence of the run.
+     */
     void preventStart(const TaskKey& task, std::uint32_t run, std::string_view reason);
-    /** Sends what waits for a lease. */
-    void pump();
-    /** A look has been taken; its number tells which bars it shows. */
+    /** Sends the starts that were waiting for a lease. */
+    void sendWaitingStarts();
+    /**
+     * Resolves orders by the result of a poll. A poll resolves the stops that were answered before
+     * the poll was sent, as its number shows.
+     */
     void handlePoll(std::uint64_t number);
-    /** Another leader or life: answers to what was sent before are ignored. */
+    /**
+     * Discards all orders and ignores pending answers, because the leader or the incarnation
+     * changed.
+     */
     void clear();
 
 private:
@@ -80,30 +105,31 @@
 
     struct Order {
         RunOrder m_start;
-        Millis m_cameAt{0};
-        bool m_isBarring = false;
+        Millis m_receivedAt{0};
+        /** Whether a stop is sent instead of a start. */
+        bool m_isPreventingStart = false;
         bool m_isSent = false;
         std::uint32_t m_tries = 0;
-        /** Under which its last call went out. */
+        /** Fence of the last call for this order. */
         std::uint64_t m_fence = 0;
-        /** The look that was taken after the run was barred; zero before. */
+        /** Number of the poll that was requested after the stop succeeded; zero before that. */
         std::uint64_t m_checkPoll = 0;
         std::string m_reason;
     };
 
     std::uint64_t getFence() const { return m_context.getCall().m_fence; }
-    void forgetBegun();
+    void removeStarted();
     void sendStart(const RunKey& key, Order& order, Millis until);
     void handleStarted(const RunKey& key, const RunReply& reply);
-    void sendBar(const RunKey& key);
-    void handleBarred(const RunKey& key, const RunReply& reply);
+    void sendStop(const RunKey& key);
+    void handleStopped(const RunKey& key, const RunReply& reply);
 
     EventLoop& m_loop;
     TaskWorker& m_worker;
     OrderContext& m_context;
     const PendingOrdersSettings m_settings;
     std::map<RunKey, Order> m_orders;
-    /** Replaced by clear(). */
+    /** Replaced by clear(), so that answers to earlier calls are ignored. */
     std::shared_ptr<bool> m_term = std::make_shared<bool>(true);
 };
 
--- a/libs/control/include/pierbank/control/Registration.h
+++ b/libs/control/include/pierbank/control/Registration.h
@@ -12,28 +12,35 @@
 namespace pierbank {
 
 /**
- * Keeps the key by which leaders find this process: writes it, tries until it is written, and
- * writes it again while no leader has been there for long, since leaders remove the keys of hosts
- * that they could not reach for minutes. The key stays when the process ends.
+ * Maintains the store key by which leaders discover this process. The key is written at the start,
+ * with retries until the write succeeds. It is written again whenever no leader is linked, because
+ * leaders remove the keys of hosts that were unreachable for minutes. The key is not removed when
+ * the process ends.
  */
 class Registration {
 public:
-    /** How often it looks whether a leader is there. Also bounds the writes of a fleet without one.
+    /**
+     * Interval of the check for a linked leader. It also bounds the write rate of a fleet that has
+     * no leader.
      */
     static constexpr Millis CHECK{30'000};
 
-    /** Store and loop must outlive the registration. @param hasLeader whether a leader is linked.
+    /**
+     * Store and loop must outlive the registration.
+     *
+     * @param hasLeader returns whether a leader is linked.
      */
     Registration(RecordStore& store, EventLoop& loop, std::function<bool()> hasLeader);
     Registration(const Registration&) = delete;
     Registration& operator=(const Registration&) = delete;
 
+    /** Writes the key and starts the periodic check. */
     void start(std::string key);
 
 private:
     void write();
     void check();
-    void checkLater();
+    void scheduleCheck();
 
     RecordStore& m_store;
     EventLoop& m_loop;
--- a/libs/control/include/pierbank/control/TaskThrottle.h
+++ b/libs/control/include/pierbank/control/TaskThrottle.h
@@ -11,31 +11,39 @@
 
 namespace pierbank {
 
-/** What kind of run it is, as far as pacing goes. */
+/** How throttling applies to a run. */
 struct RunKind {
-    /** It serves users: the tail of their answer times stays below this; zero: it does not. */
+    /** Upper bound of the tail latency for a task that serves users; zero for other tasks. */
     Millis m_latencyTarget{0};
-    /** It takes what others leave, and may be slowed down for them. */
+    /** Whether the task fills idle capacity and may be slowed down in favour of others. */
     bool m_isFilling = false;
 
-    bool matters() const noexcept { return m_isFilling || m_latencyTarget > Millis(0); }
+    /** Returns whether the run is throttled itself or has a latency target. */
+    bool isRelevant() const noexcept { return m_isFilling || m_latencyTarget > Millis(0); }
 };
 
+/** Settings of the throttle. Latencies are expressed relative to their target. */
 struct TaskThrottleSettings {
-    /** A tail above this share of its target slows filling tasks down... */
-    double m_slowDownAt = 0.8;
-    /** ...to this share of what they were set to; each look that still finds it so, again. */
-    double m_slowDown = 0.5;
-    /** A tail below this share of its target lets them speed up, by so much a look. */
-    double m_speedUpAt = 0.6;
-    std::uint32_t m_speedUp = 10;
-    /** Time between two changes: a figure is over half a second, and a pace counts after 0.1 s. */
-    Millis m_settle{600};
+    /** Tail latency relative to its target above which filling tasks are slowed down. */
+    double m_slowDownThreshold = 0.8;
+    /** Factor that is applied to the share of filling tasks at each step down. */
+    double m_slowDownFactor = 0.5;
+    /** Tail latency relative to its target below which filling tasks are sped up. */
+    double m_speedUpThreshold = 0.6;
+    /** Percentage points that are added to the share at each step up. */
+    std::uint32_t m_speedUpStep = 10;
+    /**
+     * Minimum time between two changes. Latencies are measured over half a second, and a new share
+     * takes effect after 0.1 s.
+     */
+    Millis m_settleTime{600};
 };
 
 /**
- * Paces the filling tasks beside tasks that serve users, on one worker: fast down, slowly up, as
- * congestion control does. What fills is slowed all alike, since nobody tells which one disturbs.
+ * Throttles the tasks that fill idle capacity beside tasks that serve users, on one worker. The
+ * share is decreased multiplicatively and increased additively, as in congestion control. All
+ * filling tasks get the same share, because the measurements do not show which of them causes the
+ * interference.
  */
 class TaskThrottle {
 public:
@@ -43,26 +51,45 @@
 
     explicit TaskThrottle(TaskThrottleSettings settings = {}) : m_settings(settings) {}
 
-    void learn(const RunKey& run, const RunKind& kind);
-    bool knows(const RunKey& run) const { return m_kinds.count(run) != 0; }
-    /** Both kinds are there, so that looking often pays. */
+    /** Adds a run. Runs that throttling does not concern are ignored. */
+    void addRun(const RunKey& run, const RunKind& kind);
+    /** Returns whether the run was added. */
+    bool hasRun(const RunKey& run) const { return m_kinds.count(run) != 0; }
+    /**
+     * Returns whether both kinds of task run on the worker, so that frequent polls are worthwhile.
+     */
     bool isNeeded() const noexcept { return m_isNeeded; }
-    /** Takes a look at what runs. @return what has to be paced now. */
-    std::vector<ThrottleCall> look(const std::vector<ListedRun>& running, Millis now);
-    /** A pace did not arrive: it is given again at the next look. */
-    void forgetPace(const RunKey& run) { m_paces.erase(run); }
-    /** Another life of the worker: nothing of before runs. */
+    /**
+     * Updates the share from the runs that a poll listed.
+     *
+     * @return the throttle calls to send.
+     */
+    std::vector<ThrottleCall> update(const std::vector<ListedRun>& running, Millis now);
+    /**
+     * Discards the share that was sent to a run, because the call failed. update() sends the share
+     * again.
+     */
+    void discardPercent(const RunKey& run) { m_sentPercents.erase(run); }
+    /** Removes all runs, because the worker has a new incarnation. */
     void clear();
 
 private:
-    /** The largest share of its target that a serving task's tail has; empty without one. */
-    double getPressure(const std::vector<ListedRun>& running) const;
-    void adjust(double pressure, Millis now);
+    /**
+     * Returns the highest tail latency of the serving tasks relative to its target; zero if no
+     * serving task runs.
+     */
+    double getLatencyRatio(const std::vector<ListedRun>& running) const;
+    /**
+     * Adjusts the share of filling tasks. The share can decrease before the settle time is over if
+     * a target is missed, which means a ratio above 1.
+     */
+    void adjust(double latencyRatio, Millis now);
 
     const TaskThrottleSettings m_settings;
     std::map<RunKey, RunKind> m_kinds;
-    /** What each filling run was last set to; a run begins at 100. */
-    std::map<RunKey, std::uint32_t> m_paces;
+    /** Share that was last sent for each filling run, in percent; runs start at 100. */
+    std::map<RunKey, std::uint32_t> m_sentPercents;
+    /** Present share of filling tasks in percent. */
     std::uint32_t m_percent = 100;
     Millis m_changedAt{0};
     bool m_isNeeded = false;
--- a/libs/control/include/pierbank/control/TaskWorker.h
+++ b/libs/control/include/pierbank/control/TaskWorker.h
@@ -14,31 +14,37 @@
 
 namespace pierbank {
 
-/** How a call of a worker ended. */
+/** Outcome of a call to a worker. */
 enum class WorkerStatus {
     OK,
-    /** Surely nothing was done. */
+    /** The worker has certainly not executed the call. */
     REFUSED,
-    /** A worker of another id answered: the one that was called is over. */
+    /** A worker with another id answered: the called worker has ended. */
     OTHER_INCARNATION,
-    /** No whole answer: it may have been done, or may be done seconds later. */
+    /**
+     * No complete answer arrived: the worker may have executed the call, or may still execute it
+     * seconds later.
+     */
     UNKNOWN,
 };
 
 /**
- * Which worker is called, and under which fence. The id does not tell two processes apart that
- * started under it: only the fence does.
+ * Target worker and fence of a call. Processes that started under the same id are told apart by the
+ * fence only.
  */
 struct WorkerCall {
     std::string m_id;
     std::uint64_t m_fence = 0;
 };
 
-/** Outcome of starting or stopping a run. */
+/** Outcome of starting, stopping or throttling a run. */
 struct RunReply {
     WorkerStatus m_status = WorkerStatus::UNKNOWN;
-    /** Why it was refused, in the worker's word: `fence`, `old`, `late`, `room`,
-     * `ticket`. */
+    /**
+     * Reason for a refusal as the worker names it: `fence`, `old` (the run has been prevented from
+     * starting), `late` (the lease end in the call has passed), `room` (insufficient capacity),
+     * `ticket`.
+     */
     std::string m_reason;
 };
 
@@ -47,14 +53,16 @@
     TaskKey m_task;
     std::uint32_t m_run = 0;
     std::string m_checkpoint;
-    /** Progress of the work; for a task that lasts, 100 when it is at work. */
+    /** Progress in percent; for a task without an end, 100 once the task is in service. */
     std::uint32_t m_percent = 0;
-    /** Over the last half second, roughly: for a task that serves users the tail of their answer
-     * times in milliseconds, for others the processor time in use in thousandths of a core. */
+    /**
+     * Measurement over roughly the last half second. For a task that serves users, the tail latency
+     * in milliseconds; for other tasks, the processor time in use in thousandths of a core.
+     */
     std::uint32_t m_figure = 0;
 };
 
-/** An ended run that a worker lists until its number is known to be kept. */
+/** A finished run. The worker lists the run until its number is acknowledged as persisted. */
 struct ListedEnd {
     std::uint64_t m_number = 0;
     TaskKey m_task;
@@ -66,25 +74,34 @@
 /** Outcome of hold(). */
 struct HoldReply {
     WorkerStatus m_status = WorkerStatus::UNKNOWN;
-    /** When the process that answered started, as it says; zero: it says nothing. */
+    /** Start time that the answering process reports; zero if the process reports none. */
     std::uint64_t m_processStartedAt = 0;
-    /** The worker's steady clock as it answered. */
+    /** Steady clock of the worker when the answer was sent. */
     Millis m_clock{0};
     std::vector<ListedRun> m_running;
     std::vector<ListedEnd> m_ended;
     std::string m_reason;
-    /** Nothing listens at the worker's address. */
+    /** Whether no process listens at the address of the worker. */
     bool m_isConnectionRefused = false;
 };
 
-/** What a sidecar asks of hold(). */
+/** Parameters of hold(). */
 struct HoldCall {
-    /** Ends up to this number may be forgotten; zero for none. They are gone for good, so that it
-     * is named only to the process that listed them. */
+    /**
+     * Number up to which ends of runs are persisted, so that the worker may discard them; zero for
+     * none. Discarded ends cannot be recovered, so the number must only be sent to the process that
+     * listed them.
+     */
     std::uint64_t m_lastPersisted = 0;
-    /** Until when everything may run, on the clock of that process; never shortens. */
+    /**
+     * End of the lease on the steady clock of the called process. An earlier time than that of the
+     * present lease has no effect.
+     */
     std::optional<Millis> m_until;
-    /** The answer may wait so long for an end; zero for at once. */
+    /**
+     * How long the worker may delay the answer until a run ends (long poll); zero for an immediate
+     * answer.
+     */
     Millis m_wait{0};
 };
 
@@ -94,30 +111,43 @@
     std::uint32_t m_run = 0;
     std::string m_payload;
     std::string m_checkpoint;
-    /** Empty on queues without advice. */
+    /** Placement ticket; empty on queues without placement advice. */
     std::string m_ticket;
+    /** End of the lease on the steady clock of the worker. */
     Millis m_until{0};
 };
 
-/** A run to be paced. */
+/** A run to throttle. */
 struct ThrottleCall {
     TaskKey m_task;
     std::uint32_t m_run = 0;
-    /** Share at which it works, 0 to 100. */
+    /** Share of its full speed at which the run works, from 0 to 100. */
     std::uint32_t m_percent = 100;
 };
 
-/** The worker beside a sidecar. Callbacks are called exactly once, on the loop. */
+/**
+ * Client of the worker beside a sidecar. Each call invokes its callback exactly once, on the event
+ * loop.
+ */
 class TaskWorker {
 public:
     virtual ~TaskWorker() = default;
+    /** Starts a run. Repeating the call for a run that is already running succeeds. */
     virtual void start(const WorkerCall& call, const StartCall& start,
                        std::function<void(const RunReply&)> done) = 0;
+    /** Stops a run, or prevents the run from starting if it has not started. */
     virtual void stop(const WorkerCall& call, const TaskKey& task, std::uint32_t run,
                       std::function<void(const RunReply&)> done) = 0;
-    /** Sets the share at which a run works, and disturbs others, from soon after. */
+    /**
+     * Sets the share at which a run works. Takes effect, also on the interference with other runs,
+     * shortly after the call.
+     */
     virtual void pace(const WorkerCall& call, const ThrottleCall& pace,
                       std::function<void(const RunReply&)> done) = 0;
+    /**
+     * Renews the lease of the worker and polls its runs: running runs, and finished runs whose ends
+     * are not acknowledged yet. May wait for an end (long poll).
+     */
     virtual void hold(const WorkerCall& call, const HoldCall& hold,
                       std::function<void(const HoldReply&)> done) = 0;
 };
--- a/libs/control/include/pierbank/control/WorkerAgent.h
+++ b/libs/control/include/pierbank/control/WorkerAgent.h
@@ -25,47 +25,65 @@
 
 namespace pierbank {
 
+/** Settings of the WorkerAgent. */
 struct WorkerAgentSettings {
-    /** Time between two questions for the lease, unless the leader tells another. */
+    /** Interval between two lease requests until the leader sets another interval. */
     Millis m_requestInterval{500};
-    /** A hold waits so long for an end of a run; also the longest time between two renewals. */
-    Millis m_holdWait{1000};
-    /** The same while filling tasks are paced: what disturbs shifts within seconds. */
-    Millis m_pacingWait{250};
-    /** Pause after a hold that failed, and while ends wait to be kept. */
-    Millis m_pause{150};
     /**
-     * Pause while nothing listens and calls to the former process may still arrive: the next
-     * process does them until it is called under a higher fence.
+     * How long a poll waits for a run to end. Also the longest time between two renewals of the
+     * lease at the worker.
+     */
+    Millis m_pollWait{1000};
+    /**
+     * The wait of a poll while tasks are throttled. It is shorter, since the interference between
+     * tasks changes within seconds.
+     */
+    Millis m_throttlingPollWait{250};
+    /** Delay after a failed poll, and between polls while finished runs are not persisted yet. */
+    Millis m_retryDelay{150};
+    /**
+     * Delay between polls while no process listens but calls to the previous process may still
+     * arrive. A new process executes such calls until it has been called with a higher fence.
+     */
+    Millis m_restartPollDelay{10};
+    /**
+     * Time within which unanswered calls reach the worker, if at all. Later arrivals cannot be
+     * excluded, but are not known to occur.
+     */
+    Millis m_maxCallDelay{5000};
+    /**
+     * A link over which the leader has sent nothing for the request interval plus this time is
+     * closed.
      */
-    Millis m_awayPause{10};
-    /** Calls left without an answer arrive within this time, or are not known to. */
-    Millis m_lateCalls{5000};
-    /** A leader that has not answered so long after the next question was due is not asked any
-     * more. */
     Millis m_linkTimeout{1500};
-    /** A worker that answered no hold for so long is silent: no lease is asked for it. One lost
-     * answer takes up to about 2 s. */
+    /**
+     * A worker that has not answered a poll for this time is unresponsive, and the agent requests
+     * no lease for it. A single lost answer takes up to about 2 s.
+     */
     Millis m_workerTimeout{3000};
-    /** The worker's clock may be slow by this much. */
-    double m_clockSlack = 0.02;
+    /** Fraction by which the steady clock of the worker may be slow. */
+    double m_maxClockDrift = 0.02;
     PendingOrdersSettings m_orders;
 };
 
 /**
- * The sidecar's part beside a worker. It alone calls the worker: it renews the worker's lease as
- * far as the leader grants (counted from the moment of asking), starts and stops runs on the
- * leader's word, and passes on what runs and what ended. It decides nothing and remembers nothing
- * that the worker does not know.
+ * The sidecar's control of its worker. Only the agent calls the worker: it renews the worker's
+ * lease up to the time that the leader grants (counted from the moment of the lease request),
+ * starts and stops runs as ordered by the leader, and reports running and finished runs. It makes
+ * no decisions of its own, and keeps no state that the worker could not report again.
+ *
+ * If several leaders are linked, the agent obeys the one with the highest epoch. A start whose
+ * answer is lost may take effect seconds later. The agent repeats such a start, and finally
+ * prevents the run from starting with a stop.
  *
- * Of several leaders the one with the highest epoch is obeyed. A start whose answer is lost may
- * take effect seconds later: it is tried again, and then barred by a stop.
+ * A worker may restart under its previous id, so that only an answer shows which process is
+ * running. The process that a heartbeat names is a candidate until a poll that is sent after the
+ * heartbeat arrived has shown whether this process is running. Neither start times nor the order of
+ * messages decide this. Numbers and clocks of one process must never be sent to another. Until the
+ * present process has answered, the agent therefore acknowledges no ends, extends no lease, and
+ * sends no long poll.
  *
- * A worker may start again under the id that it had. Which process is there only an answer tells:
- * a heartbeat that names another one is a claim, and a look that is sent after it came settles
- * whether that process is there, whatever the moments of start say and whichever message came
- * first. What the counters of one process mean is said to no other: until the process has answered,
- * nothing is acknowledged, no lease is extended, and no call waits.
+ * Owned by the sidecar; used on the event loop only.
  */
 class WorkerAgent final : private OrderContext {
 public:
@@ -75,66 +93,69 @@
     WorkerAgent(const WorkerAgent&) = delete;
     WorkerAgent& operator=(const WorkerAgent&) = delete;
 
-    /** A leader's link came. */
+    /** Adds a link that a leader opened. */
     void handleLink(std::shared_ptr<Link> link) { m_leader.handleLink(std::move(link)); }
-    /** The worker said what it is. */
+    /** Handles a heartbeat of the worker. */
     void handleHeartbeat(const WorkerHeartbeat& heartbeat);
-    /** The worker said that it ends; without a moment of start it may be any process of that id. */
+    /**
+     * Handles the announcement of the worker that it exits. An announcement without a start time
+     * may come from any process with that id.
+     */
     void handleLeave(const WorkerIncarnation& incarnation);
-    /** Whether a leader is linked. */
+    /** Returns whether a leader is linked. */
     bool hasLeader() const noexcept { return m_leader.isLinked(); }
 
 private:
-    // The leader's link.
+    // Communication with the leader.
     void handleLeader(const LeaderHello& hello, bool isNewEpoch);
     void handleFrame(const Frame& frame);
     void handleRenewal(const LeaseRenewal& renewal);
-    void handleEndsPersisted(const EndsPersisted& kept);
+    void handleEndsPersisted(const EndsPersisted& persisted);
     void handleStart(const RunOrder& order);
     void handleStop(const RunStop& stop);
-    void askSoon();
-    void ask();
+    void scheduleLeaseRequest();
+    void requestLease();
     void sendNotice();
     void sendReport();
 
-    // Holding the worker's lease, and seeing what runs.
-    void holdLater(Millis pause);
-    void hold(Millis wait);
+    // Polls of the worker and renewal of its lease (WorkerAgentHold.cpp).
+    void schedulePoll(Millis delay);
+    void poll(Millis wait);
     void acknowledge();
     void sendHold(const HoldCall& call);
-    void handleHold(const HoldReply& reply, std::uint64_t number);
+    void handleHoldReply(const HoldReply& reply, std::uint64_t number);
     void handlePoll(const HoldReply& reply, std::uint64_t number);
-    void noteNobodyThere(bool isNobodyThere);
-    void pace();
-    Millis getHoldWait() const;
-    std::optional<Millis> getUntil() const;
+    void recordConnectionRefused(bool isRefused);
+    void applyThrottle();
+    Millis getPollWait() const;
+    std::optional<Millis> getWorkerLeaseEnd() const;
     bool hasLease() const;
     bool isWorkerUnresponsive() const;
     void recordNoAnswer(const HoldReply& reply);
     void logNoAnswer(const HoldReply& reply, bool isFirst);
-    Millis getAwayPause(const HoldReply& reply) const;
-    void noteAnswer(std::uint64_t number);
+    Millis getRetryDelay(const HoldReply& reply) const;
+    void recordAnswer(std::uint64_t number);
 
-    // The worker's processes (WorkerAgentIncarnation.cpp).
+    // Incarnations of the worker (WorkerAgentIncarnation.cpp).
     void applyHeartbeat(const WorkerHeartbeat& heartbeat);
     void setCandidate(const WorkerHeartbeat& heartbeat);
-    void verifyClaim();
-    void handleVerified(const WorkerIncarnation& claimed, const HoldReply& reply);
-    void refuteClaim(const WorkerIncarnation& claimed);
+    void verifyCandidate();
+    void handleCandidateVerified(const WorkerIncarnation& candidate, const HoldReply& reply);
+    void rejectCandidate(const WorkerIncarnation& candidate);
     void verifyLeave();
     void handleLeaveVerified(const HoldReply& reply);
-    void leave();
+    void markExited();
     void changeIncarnation(const WorkerIncarnation& incarnation);
     void beginIncarnation(const WorkerIncarnation& incarnation);
     void endIncarnation();
-    void resolveCrashes(const HoldReply& firstLook);
-    void look(const std::string& id, std::function<void(const HoldReply&)> done);
+    void resolveCrashes(const HoldReply& firstPoll);
+    void probe(const std::string& id, std::function<void(const HoldReply&)> done);
     bool isPresent(const WorkerIncarnation& incarnation) const;
-    bool isOther(const HoldReply& reply) const;
-    bool isNews(const WorkerHeartbeat& heartbeat) const;
-    Millis getColdLeft() const;
-    bool isFormer(const WorkerIncarnation& incarnation) const;
-    /** The worker's present process has answered. */
+    bool isOtherProcess(const HoldReply& reply) const;
+    bool differsFromLast(const WorkerHeartbeat& heartbeat) const;
+    Millis getRemainingColdTime() const;
+    bool isPrevious(const WorkerIncarnation& incarnation) const;
+    /** Returns whether the present process of the worker has answered a poll. */
     bool isConfirmed() const { return m_clock.has_value(); }
 
     // OrderContext.
@@ -155,61 +176,83 @@
     const WorkerAgentSettings m_settings;
     LeaderPort m_leader;
     PendingOrders m_orders;
-    TaskThrottle m_pacer;
+    TaskThrottle m_throttle;
 
     WorkerFence m_fence;
     WorkerIncarnation m_incarnation;
-    /** Its text, as messages have it. */
+    /** Text form of m_incarnation, as used in messages. */
     std::string m_incarnationName;
-    /** Lives that were followed by another one, or had been, the latest at the end. */
+    /**
+     * Incarnations that were followed by another one or were found not to be running, the latest
+     * last.
+     */
     std::deque<WorkerIncarnation> m_previousIncarnations;
-    /** The last heartbeat that named another life than the present one. */
-    std::optional<WorkerHeartbeat> m_claim;
+    /** The last heartbeat that named an incarnation other than the present one. */
+    std::optional<WorkerHeartbeat> m_candidate;
     bool m_isVerifying = false;
     bool m_hasExited = false;
     std::optional<WorkerHeartbeat> m_heartbeat;
     Millis m_heartbeatAt{0};
-    /** The most that the present life said it has. */
+    /** Maximum of each resource that the present incarnation has reported. */
     Resources m_fullCapacity;
-    IncarnationRuns m_account;
-    /** Lives that ended unannounced while this sidecar ran, the latest at the end. */
+    IncarnationRuns m_incarnationRuns;
+    /**
+     * Incarnations that ended without an announcement while this sidecar was running, the latest
+     * last.
+     */
     std::deque<WorkerCrash> m_crashes;
-    /** The same before the first look at the next process shows what of it runs there after all. */
+    /**
+     * Crashes for which the first poll of the next process is pending. This poll may show that some
+     * of the runs were started by the next process instead.
+     */
     std::vector<WorkerCrash> m_unresolvedCrashes;
 
-    /** As the leader last told. */
+    /** Interval between lease requests, as last set by the leader. */
     Millis m_requestInterval;
-    std::uint64_t m_askNumber = 0;
-    std::map<std::uint64_t, Millis> m_asks;
+    /** Number of the last lease request. */
+    std::uint64_t m_leaseRequestNumber = 0;
+    /** When each unanswered lease request was sent, by number. */
+    std::map<std::uint64_t, Millis> m_pendingLeaseRequests;
+    /** End of the lease that the leader granted. */
     Millis m_leaseUntil{0};
 
-    /** The worker's clock as an answer of it said, and when that answer came. */
+    /** Clock of the worker in its last answer, and when this answer arrived. */
     std::optional<std::pair<Millis, Millis>> m_clock;
-    std::uint64_t m_holdNumber = 0;
-    std::uint64_t m_holdSeen = 0;
-    /** Ends of the present process up to this number are kept. */
+    /** Number of the last poll that was sent. */
+    std::uint64_t m_pollNumber = 0;
+    /** Highest number among the answered polls. */
+    std::uint64_t m_lastSeenPoll = 0;
+    /** Ends of runs of the present process are persisted up to this number. */
     std::uint64_t m_lastPersisted = 0;
-    /** The worker has to be told so. */
+    /** Whether m_lastPersisted has yet to be sent to the worker. */
     bool m_mustAcknowledge = false;
-    /** It has answered a hold, and nothing failed since that was sent: it is the same process. */
+    /**
+     * Whether a poll was answered and no call has failed since that poll was sent, so that the
+     * process is still the same.
+     */
     bool m_isAnswering = false;
-    /** The first hold that was sent after the last failure. */
-    std::uint64_t m_firstSince = 0;
-    bool m_isHolding = false;
-    /** When the worker last answered a hold, or began its life here. */
+    /** Number of the first poll that was sent after the last failure. */
+    std::uint64_t m_firstPollSinceFailure = 0;
+    /** Whether a long poll is in progress. */
+    bool m_isLongPolling = false;
+    /** When the worker last answered a poll, or when its incarnation began here. */
     Millis m_answeredAt{0};
     Millis m_noAnswerLoggedAt{0};
-    /** The last look found nothing that listens. */
+    /** Whether no process was listening at the last poll. */
     bool m_isConnectionRefused = false;
-    TimerId m_holdTimer = TimerId::NONE;
+    TimerId m_pollTimer = TimerId::NONE;
     std::vector<ListedRun> m_running;
     std::vector<ListedEnd> m_ended;
+    /** The last report that was sent to the leader. */
     RunReport m_sentReport;
     Millis m_reportedAt{0};
+    /** Whether the next poll is reported even if nothing has changed. */
     bool m_mustReport = false;
 
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
-    /** Replaced with each life and leader: answers of calls made before are ignored. */
+    /**
+     * Replaced with each incarnation and each leader, so that answers to earlier calls are ignored.
+     */
     std::shared_ptr<bool> m_term = std::make_shared<bool>(true);
 };
 
--- a/libs/control/include/pierbank/control/WorkerFence.h
+++ b/libs/control/include/pierbank/control/WorkerFence.h
@@ -7,25 +7,32 @@
 namespace pierbank {
 
 /**
- * The fence under which a sidecar calls its worker. A worker does nothing for a call with a lower
- * fence than the highest it has seen, and a process that starts anew has seen none.
+ * Computes the fence with which a sidecar calls its worker. A worker rejects calls with a lower
+ * fence than the highest that it has received; a newly started process has received none.
  *
- * It rises with each leader, with each link of one leader to this host, whenever another process
- * may be there (a call failed, or a heartbeat names another one) and when one is. So the first call
- * that reaches a process keeps it from doing what was sent before the former one fell silent and
- * arrives late, and the next call what was sent since: what the answer to that one lists is all
- * that such calls have begun there, and will ever begin.
+ * The fence rises with each leader, with each link of the same leader to this host, whenever
+ * another process may have replaced the worker's (a call failed, or a heartbeat names another
+ * process), and when a replacement is confirmed. Delayed calls can therefore not take effect
+ * unnoticed. The first call that reaches a new process rejects late calls from before the previous
+ * process stopped answering. The next call rejects late calls that were sent since then. The reply
+ * to this second call therefore lists every run that late calls have started or can ever start in
+ * the new process.
  *
- * No clock goes into it, and nothing is kept on the host: a sidecar that was restarted has another
- * link, whose number the leader counts.
+ * The fence does not depend on a clock, and nothing is stored on the host. A restarted sidecar gets
+ * a new link, and the leader counts the links.
  */
 class WorkerFence {
 public:
-    /** A leader's link is there. @param link counts the links of that leader to this host, from 1.
+    /**
+     * Raises the fence for a new link from a leader.
+     *
+     * @param epoch epoch of the leader.
+     * @param link number of this link among the leader's links to this host, starting at 1.
      */
     void handleLink(std::uint64_t epoch, std::uint64_t link);
-    /** Another process of the worker may be there. */
+    /** Raises the fence because another process of the worker may be running. */
     void raise() { ++m_value; }
+    /** Returns the current fence. */
     std::uint64_t get() const noexcept { return m_value; }
 
 private:
--- a/libs/control/include/pierbank/control/WorkerPool.h
+++ b/libs/control/include/pierbank/control/WorkerPool.h
@@ -18,95 +18,145 @@
 
 namespace pierbank {
 
+/** Settings of the WorkerPool. */
 struct WorkerPoolSettings {
+    /** Name of the gateway that leads. */
     std::string m_node;
-    /** A worker's tasks may run so long after its sidecar last asked. */
+    /**
+     * Length of the lease that is granted with each renewal, counted from the request of the
+     * sidecar.
+     */
     Millis m_grant{4500};
-    /** A worker's steady clock may be slow by this much, so its lease lasts longer. */
-    double m_clockSlack = 0.03;
-    /** The longest lease that a worker takes, whatever it is asked for (users' bound). */
+    /**
+     * Fraction by which the steady clock of a worker may be slow, so that its lease lasts longer.
+     */
+    double m_maxClockDrift = 0.03;
+    /**
+     * Longest lease that a worker accepts, whatever length is requested. Guaranteed by the
+     * platform's contract.
+     */
     Millis m_longestHold{6000};
-    /** A leader that can't reach the store goes on granting so long after it last did. */
+    /**
+     * How long a leader that cannot reach the store continues to grant leases after its leadership
+     * was last confirmed.
+     */
     Millis m_outageGrace{10'000};
-    /** Pause before a sidecar that could not be reached is tried again. */
-    Millis m_reconnectPause{250};
-    /** Hosts ask this often at least, and so many in all at most while their grants allow it. */
+    /** Delay before connecting again to an unreachable sidecar. */
+    Millis m_reconnectDelay{250};
+    /** Shortest interval between the lease requests of a host. */
     Millis m_minRequestInterval{500};
+    /**
+     * Maximum rate of lease requests from all hosts together, as far as the length of the lease
+     * permits.
+     */
     double m_requestsPerSecond = 650;
-    /** Of a grant, the longest time between two questions: two in a row may be lost. */
+    /**
+     * Longest interval between the lease requests of a host, as a share of the lease length. With
+     * one third, two consecutive requests may be lost.
+     */
     double m_requestIntervalShare = 1.0 / 3;
-    /** A link over which nothing came for so much longer than hosts are told to wait between two
-     * questions is not that of a host that registers now. */
+    /**
+     * A link that has been idle for longer than the request interval plus this time is assumed to
+     * belong to a previous process of a host that registers anew.
+     */
     Millis m_idleSlack{200};
-    /** The same, and it is given up. */
+    /** A link that has been idle for longer than the request interval plus this time is closed. */
     Millis m_linkTimeout{1500};
     /**
-     * Links that are opened at the same time. A leader that opens all at once does nothing else
-     * for as long as that takes, not even renew the lease under which it leads.
+     * Maximum number of links that are opened concurrently. A leader that opens all links at once
+     * is blocked until all are open, and cannot even renew the lease of its leadership.
      */
     std::size_t m_maxOpeningLinks = 32;
-    /** A host that does not answer for so long does not keep others waiting. */
+    /**
+     * Time after which a host that is still opening its link no longer delays the opening of other
+     * links.
+     */
     Millis m_linkOpenTimeout{100};
-    /** A host out of reach for so long is forgotten; if it lives it registers again. Hosts are
-     * replaced every day (240 of 690), and their addresses must not gather. */
+    /**
+     * Time after which an unreachable host is removed; a host that is still alive registers again.
+     * Large parts of a fleet are replaced each day (for example 240 of 690 hosts), and their
+     * addresses would accumulate.
+     */
     Millis m_hostExpiry{600'000};
 };
 
-/** Told of what the sidecars report. Hosts are named by the sidecar's address. */
+/** Receives the reports of the sidecars. Hosts are named by the address of the sidecar. */
 class WorkerPoolListener {
 public:
     virtual ~WorkerPoolListener() = default;
-    /** What the host's worker has, or its life, changed; or its link came or went. */
+    /**
+     * The capacity, the attributes or the incarnation of the worker changed, or the link to its
+     * host was opened or closed.
+     */
     virtual void handleWorkerChanged(const std::string& host) = 0;
+    /** The sidecar reported the running and the finished runs of its worker. */
     virtual void handleRunReport(const std::string& host, const RunReport& report) = 0;
+    /** The sidecar reported that a run is not on its worker and can no longer start there. */
     virtual void handleRunAbsent(const std::string& host, const RunAbsent& absent) = 0;
-    /** A gateway has written this under input/. */
+    /** A gateway has written this record under input/. */
     virtual void handleInputNotice(const InputNotice& notice) = 0;
-    /** A gateway that can't reach the store asks for a caller's request to be answered. */
+    /** A gateway that cannot reach the store forwards the request of a caller. */
     virtual void handleRelayed(const std::string& host, const RelayedRequest& request) = 0;
-    /** A gateway asks how old the configuration is. */
-    virtual void handleGatewayQuery(const std::string& host, const GatewayQuery& ask) = 0;
-    /** Whatever ran there under an earlier grant has surely stopped. */
+    /** A gateway queries the age of the configuration. */
+    virtual void handleGatewayQuery(const std::string& host, const GatewayQuery& leaseRequest) = 0;
+    /**
+     * The lease of the host lapsed: all runs that were started there under earlier leases have
+     * certainly ended.
+     */
     virtual void handleHostLost(const std::string& host) = 0;
-    /** It was out of reach for so long that the pool has forgotten it. */
+    /** The host was unreachable for so long that the pool removed it. */
     virtual void handleHostExpired(const std::string& host) = 0;
 };
 
-/** The leader's links to all sidecars, and the grants under which workers run tasks. */
+/**
+ * Maintains the links from the leader to all hosts, both sidecars and gateways, and grants the
+ * leases under which workers run tasks.
+ *
+ * Owned by the controller of the leader; used on the event loop only.
+ */
 class WorkerPool {
 public:
-    /** What is known of one host. */
+    /** State of one host. */
     struct Host {
         std::string m_address;
         std::shared_ptr<Link> m_link;
         std::optional<WorkerNotice> m_notice;
-        /** The last life that said that it leaves, or has left: its end is no crash. */
+        /**
+         * The last incarnation that announced its shutdown or has shut down. The end of this
+         * incarnation is not a crash.
+         */
         std::string m_leavingIncarnation;
-        /** When the notice came; the time that a draining worker stays counts from then. */
+        /**
+         * When the notice arrived. The remaining time of a draining worker is counted from this
+         * moment.
+         */
         Millis m_noticeAt{0};
-        /** The running tasks were reported over this link. */
+        /** Whether a run report arrived over the present link. */
         bool m_hasReport = false;
-        /** Empty for a sidecar; how well the gateway there could lead. */
+        /** Fitness of the gateway on this host for leadership; empty for a sidecar. */
         std::optional<std::uint32_t> m_fitness;
         bool m_isConnecting = false;
+        /** Whether the lease lapsed and no new lease was granted since. */
         bool m_isLost = false;
-        /** The sidecar lives, and its worker does not answer it. */
+        /** Whether the sidecar is running but its worker does not answer. */
         bool m_isWorkerUnresponsive = false;
         Millis m_lastReceivedAt{0};
-        /** Until when tasks may run there at the latest. */
+        /** Time after which no task can be running on the host. */
         Millis m_grantedUntil{0};
         /**
-         * Not before: a call to the worker's former process that the present one carried out names
-         * a time of the former's clock, which may be far ahead of a clock that began anew.
+         * Lower bound of m_grantedUntil. A call to the previous process of the worker that was
+         * executed by the present process contains a time on the clock of the previous process,
+         * which may be far ahead of the restarted clock.
          */
         Millis m_minLeaseEnd{0};
         /**
-         * Orders that no report has shown yet, and when each was sent. The worker may start again
-         * while one is on its way, without anybody hearing of it: what it begins then is leased by
-         * a time of the former process's clock.
+         * Orders that no report has listed yet, each with the time when it was sent. The worker may
+         * restart while an order is in transit, without the leader being informed. The lease of a
+         * run that the new process then starts is based on the clock of the previous process.
          */
         std::map<std::pair<std::string, std::uint32_t>, Millis> m_unreportedOrders;
 
+        /** Returns whether a link to the host is open. */
         bool isLinked() const noexcept { return m_link != nullptr; }
     };
 
@@ -117,52 +167,70 @@
     WorkerPool(const WorkerPool&) = delete;
     WorkerPool& operator=(const WorkerPool&) = delete;
 
-    /** Begins to lead. @param getConfirmedAt when the leadership was last confirmed. */
+    /**
+     * Begins a term of leadership.
+     *
+     * @param epoch epoch of the leadership.
+     * @param getConfirmedAt returns when the leadership was last confirmed.
+     */
     void start(std::uint64_t epoch, std::function<Millis()> getConfirmedAt);
+    /** Ends the term: closes all links and removes all hosts. */
     void stop();
 
+    /** Adds a host and connects to it. For a known host, connects again if needed. */
     void addHost(const std::string& address);
-    /** These are linked before others; call it before they are added. */
+    /**
+     * Sets the hosts to which links are opened first. Must be called before these hosts are added.
+     */
     void setPriorityHosts(std::set<std::string, std::less<>> hosts);
-    /** Hosts that were known at the start of the term are not all linked, and have not had their
-     * time. */
+    /**
+     * Returns whether some hosts that were known at the start of the term are neither linked nor
+     * timed out.
+     */
     bool isOpeningInitialLinks() const noexcept { return m_isOpeningInitialLinks; }
 
-    /** Gateways that are linked, as counted a moment ago. */
+    /** Linked gateways, as counted at the last periodic check. */
     struct Gateways {
         std::uint32_t m_count = 0;
         std::uint32_t m_bestFitness = 0;
     };
+    /** Returns the number of linked gateways and their best fitness for leadership. */
     const Gateways& getGateways() const noexcept { return m_gateways; }
-    /** How long hosts are told to wait between two questions. */
+    /** Returns the interval at which hosts must request their lease. */
     Millis getRequestInterval() const;
+    /** Returns all hosts by address. */
     const std::map<std::string, Host>& getHosts() const noexcept { return m_hosts; }
+    /** Returns the host, or null if it is unknown. */
     const Host* findHost(const std::string& address) const;
 
-    /** @return false when the host has no link. */
+    /**
+     * Sends a frame to a host.
+     *
+     * @return false if the host has no link.
+     */
     bool send(const std::string& host, const Frame& frame);
 
 private:
-    void connectSoon(const std::string& address);
-    void openNext();
-    void noteOpened(const std::string& address);
+    void enqueueConnect(const std::string& address);
+    void openQueuedLinks();
+    void finishOpening(const std::string& address);
     void connect(const std::string& address);
     void handleConnected(const std::string& address, std::shared_ptr<Link> link);
-    void connectLater(const std::string& address);
+    void scheduleReconnect(const std::string& address);
     void handleLink(const std::string& address, std::shared_ptr<Link> link);
     void handleFrame(const std::string& address, const Frame& frame);
     void reconnect(Host& host);
-    void answerLeaseRequest(Host& host, const LeaseRequest& ask);
-    void dropLink(const std::string& address, std::string_view why);
+    void answerLeaseRequest(Host& host, const LeaseRequest& leaseRequest);
+    void dropLink(const std::string& address, std::string_view reason);
     void tick();
     void countGateways();
     void removeExpiredHosts();
-    Millis getLongestGrant() const;
-    Millis withSlack(Millis lease) const;
-    void takeNotice(Host& host, const WorkerNotice& notice);
-    void takeReport(Host& host, const RunReport& report);
-    void noteOrder(Host& host, const RunOrder& order);
-    Millis getLeastUntil(const Host& host) const;
+    Millis getMaxLease() const;
+    Millis addClockDrift(Millis lease) const;
+    void applyNotice(Host& host, const WorkerNotice& notice);
+    void applyReport(Host& host, const RunReport& report);
+    void recordOrder(Host& host, const RunOrder& order);
+    Millis getMinLeaseEnd(const Host& host) const;
 
     Transport& m_transport;
     EventLoop& m_loop;
@@ -173,15 +241,19 @@
     std::map<std::string, Host> m_hosts;
     Gateways m_gateways;
     std::set<std::string, std::less<>> m_priorityHosts;
-    /** Hosts whose links wait to be opened; urgent ones at the front. */
-    std::deque<std::string> m_toOpen;
+    /** Hosts whose links wait to be opened; priority hosts are at the front. */
+    std::deque<std::string> m_openQueue;
     bool m_isOpeningInitialLinks = false;
-    /** Hosts whose links are being opened, and until when others wait for that. */
+    /**
+     * Hosts whose links are being opened, with the timer after which they no longer delay others.
+     */
     std::map<std::string, TimerId> m_opening;
-    /** Links to each host in this term; kept when a host is forgotten, since its worker may live.
+    /**
+     * Number of links to each host in this term. Counts of removed hosts are retained, since their
+     * workers may still be running.
      */
     std::map<std::string, std::uint64_t> m_linkCounts;
-    /** Replaced with each start() and stop(), so that callbacks of before are ignored. */
+    /** Replaced by start() and stop(), so that callbacks of earlier terms are ignored. */
     std::shared_ptr<bool> m_term;
 };
 
--- a/libs/control/src/PendingOrders.cpp
+++ b/libs/control/src/PendingOrders.cpp
@@ -34,25 +34,25 @@
     const auto [place, isNew] = m_orders.try_emplace({task, order.m_run});
     if (isNew) {
         place->second.m_start = order;
-        place->second.m_cameAt = m_loop.now();
-        pump();
+        place->second.m_receivedAt = m_loop.now();
+        sendWaitingStarts();
     }
 }
 
-void PendingOrders::pump() {
+void PendingOrders::sendWaitingStarts() {
     const auto until = m_context.getStartLease();
     if (!until.has_value()) {
         return;
     }
     std::vector<RunKey> ready;
     for (const auto& [key, order] : m_orders) {
-        if (!order.m_isBarring && !order.m_isSent) {
+        if (!order.m_isPreventingStart && !order.m_isSent) {
             ready.push_back(key);
         }
     }
     for (const RunKey& key : ready) {
         Order& order = m_orders[key];
-        if (m_loop.now() - order.m_cameAt > m_settings.m_orderLife) {
+        if (m_loop.now() - order.m_receivedAt > m_settings.m_maxOrderAge) {
             preventStart(key.first, key.second, "the order is too old");
         } else {
             sendStart(key, order, *until);
@@ -80,9 +80,10 @@
                    });
 }
 
+/** Handles the answer to a start: repeats the start or, after the last attempt, prevents it. */
 void PendingOrders::handleStarted(const RunKey& key, const RunReply& reply) {
     const auto found = m_orders.find(key);
-    if (found == m_orders.end() || found->second.m_isBarring) {
+    if (found == m_orders.end() || found->second.m_isPreventingStart) {
         return;
     }
     Order& order = found->second;
@@ -103,12 +104,12 @@
     if (reply.m_status == WorkerStatus::REFUSED && order.m_tries == 1) {
         m_context.recordRefused(key.first, key.second);
     }
-    const bool isOvertaken = reply.m_reason == "fence" && order.m_fence < getFence();
+    const bool hasStaleFence = reply.m_reason == "fence" && order.m_fence < getFence();
     const bool mayRetry =
-            reply.m_status == WorkerStatus::UNKNOWN || reply.m_reason == "late" || isOvertaken;
-    if (mayRetry && order.m_tries < m_settings.m_startTries) {
+            reply.m_status == WorkerStatus::UNKNOWN || reply.m_reason == "late" || hasStaleFence;
+    if (mayRetry && order.m_tries < m_settings.m_maxStartTries) {
         order.m_isSent = false;
-        pump();
+        sendWaitingStarts();
         return;
     }
     preventStart(key.first, key.second,
@@ -117,25 +118,29 @@
 
 void PendingOrders::preventStart(const TaskKey& task, std::uint32_t run, std::string_view reason) {
     Order& order = m_orders[{task, run}];
-    if (order.m_isBarring) {
+    if (order.m_isPreventingStart) {
         return;
     }
-    order.m_isBarring = true;
+    order.m_isPreventingStart = true;
     order.m_reason = reason;
-    sendBar({task, run});
+    sendStop({task, run});
 }
 
-void PendingOrders::sendBar(const RunKey& key) {
+void PendingOrders::sendStop(const RunKey& key) {
     m_orders[key].m_fence = getFence();
     m_worker.stop(m_context.getCall(), key.first, key.second,
                   [this, key, term = std::weak_ptr(m_term)](const RunReply& reply) {
                       if (!term.expired()) {
-                          handleBarred(key, reply);
+                          handleStopped(key, reply);
                       }
                   });
 }
 
-void PendingOrders::handleBarred(const RunKey& key, const RunReply& reply) {
+/**
+ * Handles the answer to a stop: requests a poll that shows its effect, or repeats the stop. The
+ * order is dropped if the worker has been called with a higher fence than this sidecar has.
+ */
+void PendingOrders::handleStopped(const RunKey& key, const RunReply& reply) {
     const auto found = m_orders.find(key);
     if (found == m_orders.end()) {
         return;
@@ -150,35 +155,35 @@
               {"reason", reply.m_reason}});
     if (reply.m_status == WorkerStatus::REFUSED && reply.m_reason == "fence") {
         if (found->second.m_fence < getFence()) {
-            // A call of this sidecar was quicker that went out later.
-            sendBar(key);
+            // A later call of this sidecar, with a higher fence, has reached the worker first.
+            sendStop(key);
         } else {
             m_orders.erase(found);
         }
         return;
     }
-    m_loop.callLater(m_settings.m_pause, [this, key, term = std::weak_ptr(m_term)] {
+    m_loop.callLater(m_settings.m_retryDelay, [this, key, term = std::weak_ptr(m_term)] {
         if (!term.expired() && m_orders.count(key) != 0) {
-            sendBar(key);
+            sendStop(key);
         }
     });
 }
 
 /**
- * A run that is listed has begun, whatever became of the answer: another try could only begin it
- * once more, in the worker's next process.
+ * Removes starts whose runs are listed. Such a run has started even if the answer to its start was
+ * lost. Another attempt could only start the run a second time, in the next process of the worker.
  */
-void PendingOrders::forgetBegun() {
+void PendingOrders::removeStarted() {
     std::erase_if(m_orders, [this](const auto& entry) {
         const auto& [key, order] = entry;
-        return !order.m_isBarring && order.m_isSent &&
+        return !order.m_isPreventingStart && order.m_isSent &&
                (m_context.isListed(key.first, key.second) ||
                 m_context.isEnded(key.first, key.second));
     });
 }
 
 void PendingOrders::handlePoll(std::uint64_t number) {
-    forgetBegun();
+    removeStarted();
     std::vector<std::pair<RunKey, std::string>> done;
     for (const auto& [key, order] : m_orders) {
         const bool isChecked = order.m_checkPoll != 0 && number >= order.m_checkPoll;
--- a/libs/control/src/Registration.cpp
+++ b/libs/control/src/Registration.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-/** Pause before the key is written again. */
-constexpr Millis PAUSE{300};
-constexpr Millis PATIENCE{1000};
+/** Delay before a failed write is repeated. */
+constexpr Millis RETRY_DELAY{300};
+constexpr Millis COMMIT_TIMEOUT{1000};
 
 }  // namespace
 
@@ -21,17 +21,17 @@
 void Registration::start(std::string key) {
     m_key = std::move(key);
     write();
-    checkLater();
+    scheduleCheck();
 }
 
 void Registration::check() {
     if (!m_isWriting && !m_hasLeader()) {
         write();
     }
-    checkLater();
+    scheduleCheck();
 }
 
-void Registration::checkLater() {
+void Registration::scheduleCheck() {
     m_loop.callLater(CHECK, [this, alive = std::weak_ptr(m_isAlive)] {
         if (!alive.expired()) {
             check();
@@ -44,7 +44,7 @@
     StoreTransaction transaction;
     transaction.m_puts = {{m_key, "", 0}};
     m_store.commit(
-            transaction, PATIENCE,
+            transaction, COMMIT_TIMEOUT,
             [this, alive = std::weak_ptr(m_isAlive)](const StoreCommit& commit) {
                 if (alive.expired()) {
                     return;
@@ -57,7 +57,7 @@
                 }
                 logEvent(Severity::WARNING, "registration", "failed",
                          {{"key", m_key}, {"reason", commit.m_reason}});
-                m_loop.callLater(PAUSE, [this, alive] {
+                m_loop.callLater(RETRY_DELAY, [this, alive] {
                     if (!alive.expired()) {
                         write();
                     }
--- a/libs/control/src/TaskThrottle.cpp
+++ b/libs/control/src/TaskThrottle.cpp
@@ -7,52 +7,53 @@
 
 namespace {
 
-constexpr std::uint32_t WHOLE = 100;
+/** Share of tasks that are not throttled. */
+constexpr std::uint32_t FULL_PERCENT = 100;
 
 }  // namespace
 
-void TaskThrottle::learn(const RunKey& run, const RunKind& kind) {
-    if (kind.matters()) {
+void TaskThrottle::addRun(const RunKey& run, const RunKind& kind) {
+    if (kind.isRelevant()) {
         m_kinds[run] = kind;
     }
 }
 
 void TaskThrottle::clear() {
     m_kinds.clear();
-    m_paces.clear();
-    m_percent = WHOLE;
+    m_sentPercents.clear();
+    m_percent = FULL_PERCENT;
     m_isNeeded = false;
 }
 
-double TaskThrottle::getPressure(const std::vector<ListedRun>& running) const {
-    double pressure = 0;
+double TaskThrottle::getLatencyRatio(const std::vector<ListedRun>& running) const {
+    double latencyRatio = 0;
     for (const ListedRun& run : running) {
         const auto kind = m_kinds.find({run.m_task, run.m_run});
         if (kind != m_kinds.end() && kind->second.m_latencyTarget > Millis(0)) {
             const auto target = static_cast<double>(kind->second.m_latencyTarget.count());
-            pressure = std::max(pressure, run.m_figure / target);
+            latencyRatio = std::max(latencyRatio, run.m_figure / target);
         }
     }
-    return pressure;
+    return latencyRatio;
 }
 
-void TaskThrottle::adjust(double pressure, Millis now) {
-    const bool isHarm = pressure > 1.0;
-    if (!isHarm && now - m_changedAt < m_settings.m_settle) {
+void TaskThrottle::adjust(double latencyRatio, Millis now) {
+    const bool isTargetMissed = latencyRatio > 1.0;
+    if (!isTargetMissed && now - m_changedAt < m_settings.m_settleTime) {
         return;
     }
-    if (pressure > m_settings.m_slowDownAt && m_percent > 0) {
-        const double slower = m_settings.m_slowDown * m_percent;
-        constexpr double NOTHING = 5.0;
-        m_percent = slower < NOTHING ? 0 : static_cast<std::uint32_t>(slower);
+    if (latencyRatio > m_settings.m_slowDownThreshold && m_percent > 0) {
+        const double slower = m_settings.m_slowDownFactor * m_percent;
+        constexpr double MIN_PERCENT = 5.0;
+        m_percent = slower < MIN_PERCENT ? 0 : static_cast<std::uint32_t>(slower);
         m_changedAt = now;
-    } else if (pressure < m_settings.m_speedUpAt && m_percent < WHOLE) {
-        m_percent = std::min(WHOLE, m_percent + m_settings.m_speedUp);
+    } else if (latencyRatio < m_settings.m_speedUpThreshold && m_percent < FULL_PERCENT) {
+        m_percent = std::min(FULL_PERCENT, m_percent + m_settings.m_speedUpStep);
         m_changedAt = now;
     }
 }
 
-std::vector<ThrottleCall> TaskThrottle::look(const std::vector<ListedRun>& running, Millis now) {
+std::vector<ThrottleCall> TaskThrottle::update(const std::vector<ListedRun>& running, Millis now) {
     bool hasServing = false;
     std::vector<RunKey> filling;
     for (const ListedRun& run : running) {
@@ -68,15 +69,15 @@
     }
     m_isNeeded = hasServing && !filling.empty();
     if (m_isNeeded) {
-        adjust(getPressure(running), now);
+        adjust(getLatencyRatio(running), now);
     } else {
-        m_percent = WHOLE;
+        m_percent = FULL_PERCENT;
     }
     std::vector<ThrottleCall> calls;
     for (const RunKey& key : filling) {
-        const auto set = m_paces.try_emplace(key, WHOLE).first;
-        if (set->second != m_percent) {
-            set->second = m_percent;
+        const auto sent = m_sentPercents.try_emplace(key, FULL_PERCENT).first;
+        if (sent->second != m_percent) {
+            sent->second = m_percent;
             calls.push_back({key.first, key.second, m_percent});
         }
     }
--- a/libs/control/src/TicketCache.cpp
+++ b/libs/control/src/TicketCache.cpp
@@ -17,17 +17,17 @@
 void TicketCache::clear() {
     m_term = std::make_shared<bool>(true);
     m_steps.clear();
-    m_isAsking = false;
+    m_isQuerying = false;
 }
 
-void TicketCache::setRequests(const std::vector<TicketRequest>& wishes) {
-    std::set<StepKey> wanted;
-    for (const TicketRequest& wish : wishes) {
-        wanted.insert(wish.m_step);
-        m_steps[wish.m_step].m_wish = wish;
+void TicketCache::setRequests(const std::vector<TicketRequest>& requests) {
+    std::set<StepKey> requested;
+    for (const TicketRequest& request : requests) {
+        requested.insert(request.m_step);
+        m_steps[request.m_step].m_request = request;
     }
-    std::erase_if(m_steps, [&](const auto& entry) { return wanted.count(entry.first) == 0; });
-    pump();
+    std::erase_if(m_steps, [&](const auto& entry) { return requested.count(entry.first) == 0; });
+    sendNextQuery();
 }
 
 AdvisedWorkers TicketCache::getAdvised(const std::string& job) const {
@@ -37,7 +37,7 @@
         if (key.m_job != job) {
             break;
         }
-        for (const auto& [incarnation, verdict] : step.m_verdicts) {
+        for (const auto& [incarnation, answer] : step.m_answers) {
             if (!getTicket(key, incarnation).empty()) {
                 advised[{key.m_occurrence, key.m_step}].insert(incarnation);
             }
@@ -51,47 +51,47 @@
     if (found == m_steps.end()) {
         return {};
     }
-    const auto verdict = found->second.m_verdicts.find(incarnation);
-    const bool isGood = verdict != found->second.m_verdicts.end() &&
-                        verdict->second.m_until > m_loop.now() + m_settings.m_margin;
-    return isGood ? verdict->second.m_ticket : std::string();
+    const auto answer = found->second.m_answers.find(incarnation);
+    const bool isValid = answer != found->second.m_answers.end() &&
+                         answer->second.m_until > m_loop.now() + m_settings.m_minValidity;
+    return isValid ? answer->second.m_ticket : std::string();
 }
 
 void TicketCache::dropTicket(const StepKey& step, const std::string& incarnation) {
     const auto found = m_steps.find(step);
     if (found != m_steps.end()) {
-        found->second.m_verdicts.erase(incarnation);
+        found->second.m_answers.erase(incarnation);
     }
 }
 
-/** Nothing is known of the worker, or its ticket runs out. */
-bool TicketCache::isOpen(const Step& step, const std::string& incarnation) const {
-    const auto verdict = step.m_verdicts.find(incarnation);
-    if (verdict == step.m_verdicts.end()) {
+/** Returns whether there is no answer for the worker, or its ticket is about to expire. */
+bool TicketCache::mustQuery(const Step& step, const std::string& incarnation) const {
+    const auto answer = step.m_answers.find(incarnation);
+    if (answer == step.m_answers.end()) {
         return true;
     }
-    const Millis answerTime = step.m_wish.m_policy.m_decide + m_settings.m_margin;
-    return !verdict->second.m_ticket.empty() &&
-           verdict->second.m_until <= m_loop.now() + answerTime;
+    const Millis renewalTime = step.m_request.m_policy.m_decide + m_settings.m_minValidity;
+    return !answer->second.m_ticket.empty() && answer->second.m_until <= m_loop.now() + renewalTime;
 }
 
-std::vector<std::string> TicketCache::listOpen(const Step& step) const {
-    std::vector<std::string> open;
-    for (const std::string& incarnation : step.m_wish.m_incarnations) {
-        if (open.size() < m_settings.m_batch && isOpen(step, incarnation)) {
-            open.push_back(incarnation);
+std::vector<std::string> TicketCache::listToQuery(const Step& step) const {
+    std::vector<std::string> toQuery;
+    for (const std::string& incarnation : step.m_request.m_incarnations) {
+        if (toQuery.size() < m_settings.m_maxBatchSize && mustQuery(step, incarnation)) {
+            toQuery.push_back(incarnation);
         }
     }
-    return open;
+    return toQuery;
 }
 
-void TicketCache::pump() {
-    if (m_isAsking) {
+void TicketCache::sendNextQuery() {
+    if (m_isQuerying) {
         return;
     }
     const auto rankOf = [](const auto& entry) {
         const Step& step = entry.second;
-        return std::make_tuple(step.m_wish.m_priority, step.m_questions, std::cref(entry.first));
+        return std::make_tuple(step.m_request.m_priority, step.m_queryCount,
+                               std::cref(entry.first));
     };
     const StepKey* next = nullptr;
     std::vector<std::string> incarnations;
@@ -99,66 +99,66 @@
         if (next != nullptr && !(rankOf(entry) < rankOf(*m_steps.find(*next)))) {
             continue;
         }
-        std::vector<std::string> open = listOpen(entry.second);
-        if (!open.empty()) {
+        std::vector<std::string> toQuery = listToQuery(entry.second);
+        if (!toQuery.empty()) {
             next = &entry.first;
-            incarnations = std::move(open);
+            incarnations = std::move(toQuery);
         }
     }
     if (next != nullptr) {
-        ask(*next, m_steps.at(*next), std::move(incarnations));
+        sendQuery(*next, m_steps.at(*next), std::move(incarnations));
     }
 }
 
-void TicketCache::ask(const StepKey& key, Step& step, std::vector<std::string> incarnations) {
-    m_isAsking = true;
-    ++step.m_questions;
-    const AdvicePolicy& policy = step.m_wish.m_policy;
-    const Millis patience = policy.m_decide +
-                            policy.m_each * static_cast<std::int64_t>(incarnations.size()) +
-                            m_settings.m_patience;
-    const Millis askedAt = m_loop.now();
-    m_advisor.advise(key.toText(), incarnations, patience,
-                     [this, key, incarnations, askedAt,
+void TicketCache::sendQuery(const StepKey& key, Step& step, std::vector<std::string> incarnations) {
+    m_isQuerying = true;
+    ++step.m_queryCount;
+    const AdvicePolicy& policy = step.m_request.m_policy;
+    const Millis timeout = policy.m_decide +
+                           policy.m_each * static_cast<std::int64_t>(incarnations.size()) +
+                           m_settings.m_timeoutMargin;
+    const Millis sentAt = m_loop.now();
+    m_advisor.advise(key.toText(), incarnations, timeout,
+                     [this, key, incarnations, sentAt,
                       term = std::weak_ptr(m_term)](const AdviceReply& reply) {
                          if (!term.expired()) {
-                             handleReply(key, incarnations, askedAt, reply);
+                             handleReply(key, incarnations, sentAt, reply);
                          }
                      });
 }
 
 void TicketCache::handleReply(const StepKey& key, const std::vector<std::string>& incarnations,
-                              Millis askedAt, const AdviceReply& reply) {
+                              Millis sentAt, const AdviceReply& reply) {
     logEvent(reply.m_isGood ? Severity::INFO : Severity::WARNING, "advice",
              reply.m_isGood ? "answered" : "failed",
              {{"step", key.toText()},
               {"asked", std::to_string(incarnations.size())},
               {"good", std::to_string(reply.m_workers.size())},
-              {"took_ms", std::to_string((m_loop.now() - askedAt).count())},
+              {"took_ms", std::to_string((m_loop.now() - sentAt).count())},
               {"reason", reply.m_reason}});
     if (!reply.m_isGood) {
-        m_loop.callLater(m_settings.m_pause, [this, term = std::weak_ptr(m_term)] {
+        m_loop.callLater(m_settings.m_retryDelay, [this, term = std::weak_ptr(m_term)] {
             if (!term.expired()) {
-                m_isAsking = false;
-                pump();
+                m_isQuerying = false;
+                sendNextQuery();
             }
         });
         return;
     }
-    m_isAsking = false;
+    m_isQuerying = false;
     const auto found = m_steps.find(key);
     if (found != m_steps.end()) {
         Step& step = found->second;
         for (const std::string& incarnation : incarnations) {
-            step.m_verdicts[incarnation] = Verdict();
+            step.m_answers[incarnation] = Answer();
         }
-        // The time of asking is the earliest at which the ticket can have been given.
-        const Millis until = askedAt + step.m_wish.m_policy.m_valid;
+        // The advisor cannot have issued the ticket before the query was sent.
+        const Millis until = sentAt + step.m_request.m_policy.m_valid;
         for (const AdvisedWorker& worker : reply.m_workers) {
-            step.m_verdicts[worker.m_incarnation] = {worker.m_ticket, until};
+            step.m_answers[worker.m_incarnation] = {worker.m_ticket, until};
         }
     }
-    pump();
+    sendNextQuery();
     m_onTicketsChanged();
 }
 
--- a/libs/control/src/WorkerAgent.cpp
+++ b/libs/control/src/WorkerAgent.cpp
@@ -9,9 +9,12 @@
 
 namespace {
 
-/** Questions whose answer may still come. */
-constexpr std::size_t MAX_ASKS = 32;
-/** What runs is reported so often, for its progress, or as often as the lease is asked for. */
+/** Maximum number of lease requests whose answers are awaited. */
+constexpr std::size_t MAX_PENDING_LEASE_REQUESTS = 32;
+/**
+ * Interval of the reports on the progress of runs, unless the interval of the lease requests is
+ * longer.
+ */
 constexpr Millis REPORT_INTERVAL{1000};
 
 }  // namespace
@@ -28,7 +31,7 @@
                   [this](const Frame& frame) { handleFrame(frame); }),
           m_orders(loop, worker, *this, settings.m_orders),
           m_requestInterval(settings.m_requestInterval) {
-    askSoon();
+    scheduleLeaseRequest();
 }
 
 WorkerAgent::~WorkerAgent() = default;
@@ -41,33 +44,34 @@
     };
 }
 
-// The leader's link.
+// Communication with the leader.
 
 void WorkerAgent::handleLeader(const LeaderHello& hello, bool isNewEpoch) {
     m_fence.handleLink(hello.m_epoch, hello.m_link);
-    // The leader may have placed anew what it ordered over an earlier link, its own too: only what
-    // it orders over this one counts. It sends again what it does not see running.
+    // The leader may have placed runs elsewhere that it ordered over an earlier link, even over its
+    // own. Only orders over the present link are valid. The leader repeats orders for runs that the
+    // reports do not list.
     m_orders.clear();
-    m_asks.clear();
+    m_pendingLeaseRequests.clear();
     if (isNewEpoch) {
         m_term = std::make_shared<bool>(true);
-        m_isHolding = false;
+        m_isLongPolling = false;
         m_isVerifying = false;
     }
     m_sentReport = RunReport();
     sendNotice();
-    ask();
-    // A new leader has to know what runs now, not what ran at the last look.
+    requestLease();
+    // A new leader needs the runs that are present now, not those of the last poll.
     m_mustReport = true;
-    hold(Millis(0));
-    verifyClaim();
+    poll(Millis(0));
+    verifyCandidate();
 }
 
 void WorkerAgent::handleFrame(const Frame& frame) {
     if (const auto* const renewal = std::get_if<LeaseRenewal>(&frame)) {
         handleRenewal(*renewal);
-    } else if (const auto* const kept = std::get_if<EndsPersisted>(&frame)) {
-        handleEndsPersisted(*kept);
+    } else if (const auto* const persisted = std::get_if<EndsPersisted>(&frame)) {
+        handleEndsPersisted(*persisted);
     } else if (const auto* const order = std::get_if<RunOrder>(&frame)) {
         handleStart(*order);
     } else if (const auto* const stop = std::get_if<RunStop>(&frame)) {
@@ -75,78 +79,83 @@
     }
 }
 
-void WorkerAgent::askSoon() {
+void WorkerAgent::scheduleLeaseRequest() {
     m_loop.callLater(
             m_requestInterval, guarded([this] {
                 if (m_leader.getIdleTime() > m_requestInterval + m_settings.m_linkTimeout) {
                     m_leader.drop("silent");
                 }
-                ask();
-                askSoon();
+                requestLease();
+                scheduleLeaseRequest();
             }));
 }
 
-void WorkerAgent::ask() {
+void WorkerAgent::requestLease() {
     if (!m_leader.isLinked()) {
         return;
     }
-    m_asks[++m_askNumber] = m_loop.now();
-    if (m_asks.size() > MAX_ASKS) {
-        m_asks.erase(m_asks.begin());
+    m_pendingLeaseRequests[++m_leaseRequestNumber] = m_loop.now();
+    if (m_pendingLeaseRequests.size() > MAX_PENDING_LEASE_REQUESTS) {
+        m_pendingLeaseRequests.erase(m_pendingLeaseRequests.begin());
     }
-    m_leader.send(LeaseRequest{m_askNumber, isWorkerUnresponsive()});
+    m_leader.send(LeaseRequest{m_leaseRequestNumber, isWorkerUnresponsive()});
 }
 
+/**
+ * Returns whether the worker, if known, has not answered polls within its timeout or refused the
+ * last connection.
+ */
 bool WorkerAgent::isWorkerUnresponsive() const {
-    const bool isLong = m_loop.now() - m_answeredAt > m_settings.m_workerTimeout;
-    return !m_incarnation.isEmpty() && (m_isConnectionRefused || isLong);
+    const bool isOverdue = m_loop.now() - m_answeredAt > m_settings.m_workerTimeout;
+    return !m_incarnation.isEmpty() && (m_isConnectionRefused || isOverdue);
 }
 
 void WorkerAgent::handleRenewal(const LeaseRenewal& renewal) {
-    const auto asked = m_asks.find(renewal.m_sequence);
-    if (asked == m_asks.end()) {
+    const auto request = m_pendingLeaseRequests.find(renewal.m_sequence);
+    if (request == m_pendingLeaseRequests.end()) {
         return;
     }
     if (renewal.m_nextRequestMs != 0) {
         m_requestInterval = Millis(renewal.m_nextRequestMs);
     }
     const bool hadLease = hasLease();
-    m_leaseUntil = std::max(m_leaseUntil, asked->second + Millis(renewal.m_timeToLiveMs));
-    m_asks.erase(m_asks.begin(), std::next(asked));
+    m_leaseUntil = std::max(m_leaseUntil, request->second + Millis(renewal.m_timeToLiveMs));
+    m_pendingLeaseRequests.erase(m_pendingLeaseRequests.begin(), std::next(request));
     if (!hadLease) {
-        hold(Millis(0));
-        m_orders.pump();
+        poll(Millis(0));
+        m_orders.sendWaitingStarts();
     }
 }
 
-void WorkerAgent::handleEndsPersisted(const EndsPersisted& kept) {
-    if (kept.m_incarnation != m_incarnationName || kept.m_number <= m_lastPersisted) {
+void WorkerAgent::handleEndsPersisted(const EndsPersisted& persisted) {
+    if (persisted.m_incarnation != m_incarnationName || persisted.m_number <= m_lastPersisted) {
         return;
     }
-    m_lastPersisted = kept.m_number;
+    m_lastPersisted = persisted.m_number;
     m_mustAcknowledge = true;
     std::erase_if(m_ended,
                   [this](const ListedEnd& end) { return end.m_number <= m_lastPersisted; });
-    m_loop.cancel(m_holdTimer);
-    hold(Millis(0));
+    m_loop.cancel(m_pollTimer);
+    poll(Millis(0));
 }
 
 void WorkerAgent::handleStart(const RunOrder& order) {
     const auto task = TaskKey::parse(order.m_task);
     if (!task.has_value() || order.m_epoch != m_leader.getEpoch() || m_incarnation.isEmpty()) {
-        // Without a life nothing is known of what runs: the leader sends it again with the report.
+        // Without an incarnation, the running tasks are unknown. The leader repeats the order after
+        // the first report.
         return;
     }
     if (order.m_incarnation != m_incarnationName) {
         if (!isConfirmed()) {
-            // Which of the two is over is not known; the leader sends it again.
+            // It is unknown which of the two incarnations has ended. The leader repeats the order.
             return;
         }
         m_leader.send(RunAbsent{order.m_incarnation, order.m_task, order.m_run,
                                 "another life of the worker"});
         return;
     }
-    m_pacer.learn({*task, order.m_run}, {Millis(order.m_latencyTargetMs), order.m_isFilling});
+    m_throttle.addRun({*task, order.m_run}, {Millis(order.m_latencyTargetMs), order.m_isFilling});
     if (isListed(*task, order.m_run)) {
         return;
     }
@@ -173,7 +182,9 @@
     m_orders.preventStart(*task, stop.m_run, "stopped on the leader's word");
 }
 
-/** A heartbeat may be a former life's that was delayed: the leader hears of a confirmed life only.
+/**
+ * Sends the state of the worker to the leader. Nothing is sent for an unconfirmed incarnation,
+ * because its heartbeat may be a delayed one of a previous incarnation.
  */
 void WorkerAgent::sendNotice() {
     if (!m_incarnation.isEmpty() && !isConfirmed()) {
@@ -196,7 +207,7 @@
         notice.m_fullAccelerators = m_fullCapacity.m_accelerators;
         notice.m_isDraining = m_heartbeat->m_isDraining;
         notice.m_remainingMs = static_cast<std::uint64_t>(m_heartbeat->m_remaining.count());
-        notice.m_coldLeftMs = static_cast<std::uint64_t>(getColdLeft().count());
+        notice.m_coldLeftMs = static_cast<std::uint64_t>(getRemainingColdTime().count());
     }
     m_leader.send(notice);
 }
@@ -212,9 +223,9 @@
         report.m_ended.push_back({end.m_number, end.m_task.toText(), end.m_run,
                                   static_cast<std::uint32_t>(end.m_end), end.m_checkpoint});
     }
-    const bool isNews = report.m_ended != m_sentReport.m_ended ||
-                        report.m_running.size() != m_sentReport.m_running.size();
-    if (!isNews && !m_mustReport &&
+    const bool hasChanged = report.m_ended != m_sentReport.m_ended ||
+                            report.m_running.size() != m_sentReport.m_running.size();
+    if (!hasChanged && !m_mustReport &&
         m_loop.now() - m_reportedAt < std::max(REPORT_INTERVAL, m_requestInterval)) {
         return;
     }
@@ -228,9 +239,10 @@
 // OrderContext.
 
 std::optional<Millis> WorkerAgent::getStartLease() const {
-    // After a call that failed the next process may be there, whose clock began anew: by a time of
-    // the former one's, what it starts is leased for longer than anybody counts.
-    return hasLease() && m_isAnswering ? getUntil() : std::nullopt;
+    // After a failed call, the next process may be running, whose clock has restarted. A run that
+    // is started with a time on the previous clock would have a longer lease than the leader
+    // assumes.
+    return hasLease() && m_isAnswering ? getWorkerLeaseEnd() : std::nullopt;
 }
 
 bool WorkerAgent::isListed(const TaskKey& task, std::uint32_t run) const {
@@ -246,24 +258,24 @@
 }
 
 std::uint64_t WorkerAgent::pollAgain() {
-    hold(Millis(0));
-    return m_holdNumber;
+    poll(Millis(0));
+    return m_pollNumber;
 }
 
 void WorkerAgent::recordSent(const TaskKey& task, std::uint32_t run) {
-    m_account.recordSent({task, run}, m_loop.now());
+    m_incarnationRuns.recordSent({task, run}, m_loop.now());
 }
 
 void WorkerAgent::recordStarted(const TaskKey& task, std::uint32_t run) {
-    m_account.recordStarted({task, run}, m_loop.now());
+    m_incarnationRuns.recordStarted({task, run}, m_loop.now());
 }
 
 void WorkerAgent::recordRefused(const TaskKey& task, std::uint32_t run) {
-    m_account.recordAbsent({task, run});
+    m_incarnationRuns.recordAbsent({task, run});
 }
 
 void WorkerAgent::reportAbsent(const TaskKey& task, std::uint32_t run, std::string_view reason) {
-    m_account.recordAbsent({task, run});
+    m_incarnationRuns.recordAbsent({task, run});
     logEvent(Severity::INFO, "agent", "run-absent",
              {{"task", task.toText()},
               {"run", std::to_string(run)},
--- a/libs/control/src/WorkerAgentHold.cpp
+++ b/libs/control/src/WorkerAgentHold.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// How a WorkerAgent holds its worker's lease, and sees what runs.
+// WorkerAgent: polls of the worker and renewal of its lease.
 #include <algorithm>
 #include <utility>
 
@@ -10,160 +10,171 @@
 
 namespace {
 
-/** A lease that ends sooner than this starts nothing. */
-constexpr Millis LEAST_LEASE{300};
-/** Between log lines of a worker that goes on not answering. */
-constexpr Millis LOG_INTERVAL{1000};
+/** Remaining time of the lease below which no run is started. */
+constexpr Millis MIN_LEASE{300};
+/** Minimum time between log events while a worker remains unresponsive. */
+constexpr Millis NO_ANSWER_LOG_INTERVAL{1000};
 
 }  // namespace
 
 bool WorkerAgent::hasLease() const {
-    return m_leaseUntil - m_loop.now() > LEAST_LEASE && m_clock.has_value();
+    return m_leaseUntil - m_loop.now() > MIN_LEASE && m_clock.has_value();
 }
 
-/** The end of the lease on the worker's clock, at the earliest that the clock may show it. */
-std::optional<Millis> WorkerAgent::getUntil() const {
+/**
+ * Returns the end of the lease on the clock of the worker, reduced by the maximum drift of that
+ * clock.
+ */
+std::optional<Millis> WorkerAgent::getWorkerLeaseEnd() const {
     if (!m_clock.has_value() || m_leaseUntil <= m_clock->second) {
         return std::nullopt;
     }
     const auto length = static_cast<double>((m_leaseUntil - m_clock->second).count());
-    const auto least = static_cast<std::int64_t>(length * (1.0 - m_settings.m_clockSlack));
-    return m_clock->first + Millis(least);
+    const auto minLength = static_cast<std::int64_t>(length * (1.0 - m_settings.m_maxClockDrift));
+    return m_clock->first + Millis(minLength);
 }
 
-Millis WorkerAgent::getHoldWait() const {
-    return m_pacer.isNeeded() ? m_settings.m_pacingWait : m_settings.m_holdWait;
+Millis WorkerAgent::getPollWait() const {
+    return m_throttle.isNeeded() ? m_settings.m_throttlingPollWait : m_settings.m_pollWait;
 }
 
-void WorkerAgent::holdLater(Millis pause) {
-    m_loop.cancel(m_holdTimer);
-    m_holdTimer = m_loop.callLater(pause, guarded([this] {
-                                       m_holdTimer = TimerId::NONE;
-                                       if (!m_isHolding) {
-                                           hold(getHoldWait());
+void WorkerAgent::schedulePoll(Millis delay) {
+    m_loop.cancel(m_pollTimer);
+    m_pollTimer = m_loop.callLater(delay, guarded([this] {
+                                       m_pollTimer = TimerId::NONE;
+                                       if (!m_isLongPolling) {
+                                           poll(getPollWait());
                                        }
                                    }));
 }
 
-/** A hold that waits is sent one at a time; one that doesn't may overtake it. */
-void WorkerAgent::hold(Millis wait) {
+/** Sends a poll. At most one long poll is in progress; a poll without wait may overtake it. */
+void WorkerAgent::poll(Millis wait) {
     if (m_incarnation.isEmpty() || m_leader.getEpoch() == 0) {
         return;
     }
-    // To a process that may be another one nothing is said, and its answer names it at once.
+    // If the process may have been replaced, the call carries neither lease nor wait. Its immediate
+    // answer identifies the process.
     HoldCall call;
     if (m_isAnswering) {
-        call.m_until = getUntil();
+        call.m_until = getWorkerLeaseEnd();
         call.m_wait = wait;
     }
     sendHold(call);
 }
 
 /**
- * Ends that are acknowledged to another process are lost: it forgets its own of the same numbers.
- * So this goes out only with the answer of the process that listed them in hand; to restart, run a
- * task and end it takes a worker longer than a call on its own machine.
+ * Acknowledges persisted ends. If another process received the acknowledgement, its own ends with
+ * the same numbers would be lost. The acknowledgement is therefore sent only directly after an
+ * answer of the process that listed the ends. To restart, run a task and finish it, a worker needs
+ * more time than a call on its own machine takes.
  */
 void WorkerAgent::acknowledge() {
     m_mustAcknowledge = false;
     HoldCall call;
     call.m_lastPersisted = m_lastPersisted;
-    call.m_until = getUntil();
+    call.m_until = getWorkerLeaseEnd();
     sendHold(call);
 }
 
 void WorkerAgent::sendHold(const HoldCall& call) {
     const bool isWaiting = call.m_wait > Millis(0);
-    m_isHolding = m_isHolding || isWaiting;
-    const std::uint64_t number = ++m_holdNumber;
+    m_isLongPolling = m_isLongPolling || isWaiting;
+    const std::uint64_t number = ++m_pollNumber;
     m_worker.hold(getCall(), call,
                   [this, number, isWaiting, term = std::weak_ptr(m_term)](const HoldReply& reply) {
                       if (term.expired()) {
                           return;
                       }
                       if (isWaiting) {
-                          m_isHolding = false;
+                          m_isLongPolling = false;
                       }
-                      handleHold(reply, number);
+                      handleHoldReply(reply, number);
                   });
 }
 
-void WorkerAgent::handleHold(const HoldReply& reply, std::uint64_t number) {
+void WorkerAgent::handleHoldReply(const HoldReply& reply, std::uint64_t number) {
     if (reply.m_status != WorkerStatus::OK) {
         recordNoAnswer(reply);
         return;
     }
-    if (isOther(reply)) {
-        // It was sent after all that is known of the present life: that one is over.
+    if (isOtherProcess(reply)) {
+        // The poll was sent after all that is known of the present incarnation, so this incarnation
+        // has ended.
         changeIncarnation({m_incarnation.m_id, reply.m_processStartedAt});
         return;
     }
-    noteAnswer(number);
+    recordAnswer(number);
     const bool isFirst = !m_clock.has_value();
-    const bool wasSilent = isWorkerUnresponsive();
+    const bool wasUnresponsive = isWorkerUnresponsive();
     m_answeredAt = m_loop.now();
     m_isConnectionRefused = false;
-    if (wasSilent) {
-        ask();
+    if (wasUnresponsive) {
+        requestLease();
     }
     m_clock = {reply.m_clock, m_loop.now()};
     if (isFirst) {
         resolveCrashes(reply);
-        // Before the first report, which would else be taken for the old life's.
+        // The notice must precede the first report, which the leader would otherwise attribute to
+        // the previous incarnation.
         sendNotice();
-        // The former life was silent at its end: the leader uses the worker when it hears
-        // otherwise.
-        ask();
+        // The previous incarnation was unresponsive at its end. The leader uses the worker again
+        // once a lease request reports the worker as responsive.
+        requestLease();
     }
     const bool mustAcknowledge = m_mustAcknowledge && m_isAnswering;
-    // Answers on different connections overtake each other.
-    if (number > m_holdSeen) {
-        m_holdSeen = number;
+    // Answers on different connections may overtake each other.
+    if (number > m_lastSeenPoll) {
+        m_lastSeenPoll = number;
         handlePoll(reply, number);
     }
     if (isFirst) {
-        hold(Millis(0));
-        m_orders.pump();
+        poll(Millis(0));
+        m_orders.sendWaitingStarts();
     }
     if (mustAcknowledge) {
         acknowledge();
         return;
     }
-    // A hold would be answered at once while ends are listed: wait until they are kept.
-    const bool isListing = !m_ended.empty() || m_mustAcknowledge;
-    if (!m_isHolding) {
-        holdLater(isListing ? m_settings.m_pause : Millis(0));
+    // The worker answers a poll immediately while it lists ends, so the next poll waits until they
+    // are persisted.
+    const bool hasEndsToPersist = !m_ended.empty() || m_mustAcknowledge;
+    if (!m_isLongPolling) {
+        schedulePoll(hasEndsToPersist ? m_settings.m_retryDelay : Millis(0));
     }
 }
 
 /**
- * The process may be gone, and the next one that answers another. That one does what was sent to
- * its predecessor and arrives late until it has been called, so it is called at once.
+ * Handles a failed poll. The process may have ended, and the next answer may come from another
+ * process. Until that process has been called, it executes delayed calls to its predecessor, so the
+ * next poll is sent immediately.
  */
 void WorkerAgent::recordNoAnswer(const HoldReply& reply) {
     const bool wasAnswering = std::exchange(m_isAnswering, false);
     if (wasAnswering) {
         m_fence.raise();
     }
-    m_firstSince = m_holdNumber + 1;
-    m_account.recordNoAnswer(m_loop.now());
-    noteNobodyThere(reply.m_isConnectionRefused);
+    m_firstPollSinceFailure = m_pollNumber + 1;
+    m_incarnationRuns.recordNoAnswer(m_loop.now());
+    recordConnectionRefused(reply.m_isConnectionRefused);
     logNoAnswer(reply, wasAnswering);
-    if (reply.m_status == WorkerStatus::OTHER_INCARNATION && m_claim.has_value()) {
-        changeIncarnation(m_claim->m_incarnation);
+    if (reply.m_status == WorkerStatus::OTHER_INCARNATION && m_candidate.has_value()) {
+        changeIncarnation(m_candidate->m_incarnation);
         return;
     }
-    holdLater(wasAnswering ? Millis(0) : getAwayPause(reply));
+    schedulePoll(wasAnswering ? Millis(0) : getRetryDelay(reply));
 }
 
-Millis WorkerAgent::getAwayPause(const HoldReply& reply) const {
-    const bool mayComeLate = m_loop.now() - m_answeredAt <= m_settings.m_lateCalls;
-    return reply.m_isConnectionRefused && mayComeLate ? m_settings.m_awayPause : m_settings.m_pause;
+/** Returns the delay before the next poll after a repeated failure. */
+Millis WorkerAgent::getRetryDelay(const HoldReply& reply) const {
+    const bool mayCallsArrive = m_loop.now() - m_answeredAt <= m_settings.m_maxCallDelay;
+    return reply.m_isConnectionRefused && mayCallsArrive ? m_settings.m_restartPollDelay
+                                                         : m_settings.m_retryDelay;
 }
 
-/** Not each of many alike. */
+/** Logs a failed poll. Consecutive failures are logged at a limited rate. */
 void WorkerAgent::logNoAnswer(const HoldReply& reply, bool isFirst) {
-    if (!isFirst && m_loop.now() - m_noAnswerLoggedAt < LOG_INTERVAL) {
+    if (!isFirst && m_loop.now() - m_noAnswerLoggedAt < NO_ANSWER_LOG_INTERVAL) {
         return;
     }
     m_noAnswerLoggedAt = m_loop.now();
@@ -174,44 +185,46 @@
               {"epoch", std::to_string(m_leader.getEpoch())}});
 }
 
-void WorkerAgent::noteAnswer(std::uint64_t number) {
-    if (!m_isAnswering && number >= m_firstSince) {
+void WorkerAgent::recordAnswer(std::uint64_t number) {
+    if (!m_isAnswering && number >= m_firstPollSinceFailure) {
         m_isAnswering = true;
-        // They wait while it is not known which process is there.
-        m_loop.callLater(Millis(0), guarded([this] { m_orders.pump(); }));
+        // Orders are not sent while it is unknown which process is running.
+        m_loop.callLater(Millis(0), guarded([this] { m_orders.sendWaitingStarts(); }));
     }
 }
 
 /**
- * That nothing listens proves no end (a cut may refuse too), but no new work should come: jobs that
- * were placed on such a worker waited for its next life, 2.6 s in the case that showed it.
+ * Records whether a process was listening at the last poll. A refused connection does not prove
+ * that the process has ended, because a network partition may also cause it. Nevertheless the
+ * worker must not receive new work: jobs that were placed on such a worker had to wait for its next
+ * incarnation, for 2.6 s in an observed case.
  */
-void WorkerAgent::noteNobodyThere(bool isNobodyThere) {
-    const bool wasSilent = isWorkerUnresponsive();
-    m_isConnectionRefused = isNobodyThere;
-    if (!wasSilent && isWorkerUnresponsive()) {
-        ask();
+void WorkerAgent::recordConnectionRefused(bool isRefused) {
+    const bool wasUnresponsive = isWorkerUnresponsive();
+    m_isConnectionRefused = isRefused;
+    if (!wasUnresponsive && isWorkerUnresponsive()) {
+        requestLease();
     }
 }
 
 void WorkerAgent::handlePoll(const HoldReply& reply, std::uint64_t number) {
     m_running = reply.m_running;
     m_ended = reply.m_ended;
-    const auto isKept = [this](const ListedEnd& end) {
+    const auto isPersisted = [this](const ListedEnd& end) {
         return end.m_number <= m_lastPersisted;
     };
-    if (std::erase_if(m_ended, isKept) != 0) {
-        // The call that told so was not done, or is not yet.
+    if (std::erase_if(m_ended, isPersisted) != 0) {
+        // The acknowledgement was not executed, or not yet.
         m_mustAcknowledge = true;
     }
-    m_account.recordPoll(m_running, reply.m_ended, m_loop.now());
+    m_incarnationRuns.recordPoll(m_running, reply.m_ended, m_loop.now());
     m_orders.handlePoll(number);
     sendReport();
-    pace();
+    applyThrottle();
 }
 
-void WorkerAgent::pace() {
-    for (const ThrottleCall& call : m_pacer.look(m_running, m_loop.now())) {
+void WorkerAgent::applyThrottle() {
+    for (const ThrottleCall& call : m_throttle.update(m_running, m_loop.now())) {
         m_worker.pace(getCall(), call,
                       [this, call, term = std::weak_ptr(m_term)](const RunReply& reply) {
                           if (term.expired() || reply.m_status == WorkerStatus::OK) {
@@ -222,7 +235,7 @@
                                     {"run", std::to_string(call.m_run)},
                                     {"percent", std::to_string(call.m_percent)},
                                     {"reason", reply.m_reason}});
-                          m_pacer.forgetPace({call.m_task, call.m_run});
+                          m_throttle.discardPercent({call.m_task, call.m_run});
                       });
     }
 }
--- a/libs/control/src/WorkerAgentIncarnation.cpp
+++ b/libs/control/src/WorkerAgentIncarnation.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Which process of its worker a WorkerAgent has to do with.
+// WorkerAgent: detection of new incarnations of the worker.
 #include <algorithm>
 
 #include "pierbank/base/Log.h"
@@ -9,24 +9,34 @@
 
 namespace {
 
-/** Former lives that are remembered: a worker that restarts each second for half a minute. */
-constexpr std::size_t MAX_FORMER_LIVES = 32;
-/** Heartbeats and clocks differ by less; a worker that is cold for so much longer is cold anew. */
-constexpr Millis COLD_NEWS{1000};
-/** Crashes that leaders are told of; each was passed on long before so many more follow it. */
+/**
+ * Number of previous incarnations that are remembered; sufficient for a worker that restarts every
+ * second for half a minute.
+ */
+constexpr std::size_t MAX_PREVIOUS_INCARNATIONS = 32;
+/**
+ * Increase of the remaining cold time above which the worker counts as cold again. Timing
+ * differences between heartbeats and clocks are smaller.
+ */
+constexpr Millis MIN_COLD_INCREASE{1000};
+/**
+ * Number of crashes that are reported to leaders. Each crash is reported long before so many more
+ * occur.
+ */
 constexpr std::size_t MAX_CRASHES = 8;
 
-bool isIn(const HoldReply& look, const CrashedRunEntry& run) {
-    const auto isIt = [&](const auto& listed) {
+/** Returns whether the reply lists the run as running or finished. */
+bool isListedIn(const HoldReply& pollReply, const CrashedRunEntry& run) {
+    const auto matches = [&](const auto& listed) {
         return listed.m_run == run.m_run && listed.m_task.toText() == run.m_task;
     };
-    return std::any_of(look.m_running.begin(), look.m_running.end(), isIt) ||
-           std::any_of(look.m_ended.begin(), look.m_ended.end(), isIt);
+    return std::any_of(pollReply.m_running.begin(), pollReply.m_running.end(), matches) ||
+           std::any_of(pollReply.m_ended.begin(), pollReply.m_ended.end(), matches);
 }
 
 }  // namespace
 
-// What the worker says of itself.
+// Heartbeats and exit announcements of the worker.
 
 void WorkerAgent::handleHeartbeat(const WorkerHeartbeat& heartbeat) {
     if (m_incarnation.isEmpty()) {
@@ -35,7 +45,7 @@
     } else if (!isPresent(heartbeat.m_incarnation)) {
         setCandidate(heartbeat);
     } else if (!m_heartbeat.has_value() || heartbeat.m_sequence > m_heartbeat->m_sequence) {
-        const bool isChanged = m_hasExited || isNews(heartbeat);
+        const bool isChanged = m_hasExited || differsFromLast(heartbeat);
         applyHeartbeat(heartbeat);
         if (isChanged) {
             sendNotice();
@@ -44,7 +54,7 @@
 }
 
 void WorkerAgent::applyHeartbeat(const WorkerHeartbeat& heartbeat) {
-    const bool isChanged = m_hasExited || isNews(heartbeat);
+    const bool isChanged = m_hasExited || differsFromLast(heartbeat);
     m_fullCapacity = componentMax(m_fullCapacity, heartbeat.m_capacity);
     m_heartbeat = heartbeat;
     m_heartbeatAt = m_loop.now();
@@ -61,12 +71,13 @@
 }
 
 /**
- * A room may shrink and grow within one life. Told only with the life or the draining, six runs of
- * one accelerator were begun on a worker that had two left.
+ * Returns whether the leader must be notified of the heartbeat. The capacity may shrink and grow
+ * within one incarnation. When it was reported only with a new incarnation or a drain, six runs
+ * with one accelerator each were started on a worker with two accelerators left.
  */
-bool WorkerAgent::isNews(const WorkerHeartbeat& heartbeat) const {
-    const bool turnsCold =
-            m_heartbeat.has_value() && heartbeat.m_coldLeft > getColdLeft() + COLD_NEWS;
+bool WorkerAgent::differsFromLast(const WorkerHeartbeat& heartbeat) const {
+    const bool turnsCold = m_heartbeat.has_value() &&
+                           heartbeat.m_coldLeft > getRemainingColdTime() + MIN_COLD_INCREASE;
     return !m_heartbeat.has_value() || turnsCold ||
            m_heartbeat->m_isDraining != heartbeat.m_isDraining ||
            m_heartbeat->m_capacity != heartbeat.m_capacity ||
@@ -75,51 +86,55 @@
            m_heartbeat->m_failureDomain != heartbeat.m_failureDomain;
 }
 
-/** Of what the last heartbeat said. */
-Millis WorkerAgent::getColdLeft() const {
+/** Returns the remaining cold time, extrapolated from the last heartbeat. */
+Millis WorkerAgent::getRemainingColdTime() const {
     return std::max(m_heartbeat->m_coldLeft - (m_loop.now() - m_heartbeatAt), Millis(0));
 }
 
 void WorkerAgent::handleLeave(const WorkerIncarnation& incarnation) {
-    const bool isSaid = incarnation.m_processStartedAt != 0 &&
-                        incarnation.m_processStartedAt == m_incarnation.m_processStartedAt;
+    const bool isSameProcess = incarnation.m_processStartedAt != 0 &&
+                               incarnation.m_processStartedAt == m_incarnation.m_processStartedAt;
     if (incarnation.m_id != m_incarnation.m_id ||
         (incarnation.m_processStartedAt != 0 && !isPresent(incarnation))) {
         logEvent(Severity::INFO, "agent", "late-goodbye",
                  {{"life", incarnation.toText()}, {"living", m_incarnationName}});
-    } else if (isSaid || m_incarnation.m_processStartedAt == 0 ||
+    } else if (isSameProcess || m_incarnation.m_processStartedAt == 0 ||
                (m_heartbeat.has_value() && m_heartbeat->m_isDraining)) {
-        leave();
+        markExited();
     } else {
         verifyLeave();
     }
 }
 
-void WorkerAgent::leave() {
+void WorkerAgent::markExited() {
     logEvent(Severity::INFO, "agent", "worker-left", {{"life", m_incarnationName}});
     m_hasExited = true;
     sendNotice();
 }
 
-/** A goodbye that names only the id may be a former process's that was delayed. */
+/**
+ * Verifies with a poll that the worker has exited. An exit announcement that names only the id may
+ * be a delayed one of a previous process.
+ */
 void WorkerAgent::verifyLeave() {
     const auto term = std::weak_ptr(m_term);
-    m_loop.callLater(m_settings.m_pause, guarded([this, term] {
+    m_loop.callLater(m_settings.m_retryDelay, guarded([this, term] {
                          if (term.expired()) {
                              return;
                          }
-                         look(m_incarnation.m_id,
-                              [this](const HoldReply& reply) { handleLeaveVerified(reply); });
+                         probe(m_incarnation.m_id,
+                               [this](const HoldReply& reply) { handleLeaveVerified(reply); });
                      }));
 }
 
 void WorkerAgent::handleLeaveVerified(const HoldReply& reply) {
     if (reply.m_isConnectionRefused || reply.m_status == WorkerStatus::OTHER_INCARNATION) {
-        leave();
+        markExited();
     } else if (reply.m_status != WorkerStatus::OK) {
-        // Not known yet; taken for gone, what goes on there would be started elsewhere.
+        // The state of the worker is still unknown. If the worker were assumed to have exited, its
+        // running tasks would be started elsewhere a second time.
         verifyLeave();
-    } else if (isOther(reply)) {
+    } else if (isOtherProcess(reply)) {
         changeIncarnation({m_incarnation.m_id, reply.m_processStartedAt});
     } else {
         logEvent(Severity::INFO, "agent", "late-goodbye",
@@ -127,85 +142,93 @@
     }
 }
 
-// Which process is there.
+// Identification of the running process.
 
-/** A worker that tells no moment of start is known by its id alone. */
+/**
+ * Returns whether this is the present incarnation. A worker that reports no start time is
+ * identified by its id alone.
+ */
 bool WorkerAgent::isPresent(const WorkerIncarnation& incarnation) const {
     return incarnation == m_incarnation ||
            (incarnation.m_id == m_incarnation.m_id && incarnation.m_processStartedAt == 0);
 }
 
-bool WorkerAgent::isOther(const HoldReply& reply) const {
+/** Returns whether the reply names a process other than the present one. */
+bool WorkerAgent::isOtherProcess(const HoldReply& reply) const {
     return reply.m_processStartedAt != 0 &&
            reply.m_processStartedAt != m_incarnation.m_processStartedAt;
 }
 
-bool WorkerAgent::isFormer(const WorkerIncarnation& incarnation) const {
+bool WorkerAgent::isPrevious(const WorkerIncarnation& incarnation) const {
     return std::find(m_previousIncarnations.begin(), m_previousIncarnations.end(), incarnation) !=
            m_previousIncarnations.end();
 }
 
+/** Makes the incarnation of the heartbeat the candidate, unless it is a previous incarnation. */
 void WorkerAgent::setCandidate(const WorkerHeartbeat& heartbeat) {
-    if (isFormer(heartbeat.m_incarnation)) {
+    if (isPrevious(heartbeat.m_incarnation)) {
         logEvent(Severity::WARNING, "agent", "late-heartbeat",
                  {{"life", heartbeat.m_incarnation.toText()}, {"living", m_incarnationName}});
         return;
     }
-    m_claim = heartbeat;
-    verifyClaim();
+    m_candidate = heartbeat;
+    verifyCandidate();
 }
 
 /**
- * Whoever answers a look that went out after the claim came was there after the claim was made. The
- * moments of start would not tell: a clock may be set back between two starts.
+ * Verifies with a poll whether the candidate is running. The process that answers a poll sent after
+ * the heartbeat arrived was running after the heartbeat was sent. Start times cannot show this,
+ * because the wall clock may be set back between two starts.
  */
-void WorkerAgent::verifyClaim() {
-    if (m_isVerifying || !m_claim.has_value() || m_leader.getEpoch() == 0) {
+void WorkerAgent::verifyCandidate() {
+    if (m_isVerifying || !m_candidate.has_value() || m_leader.getEpoch() == 0) {
         return;
     }
     m_isVerifying = true;
     m_fence.raise();
-    look(m_claim->m_incarnation.m_id,
-         [this, claimed = m_claim->m_incarnation](const HoldReply& reply) {
-             m_isVerifying = false;
-             handleVerified(claimed, reply);
-         });
+    probe(m_candidate->m_incarnation.m_id,
+          [this, candidate = m_candidate->m_incarnation](const HoldReply& reply) {
+              m_isVerifying = false;
+              handleCandidateVerified(candidate, reply);
+          });
 }
 
-void WorkerAgent::handleVerified(const WorkerIncarnation& claimed, const HoldReply& reply) {
+void WorkerAgent::handleCandidateVerified(const WorkerIncarnation& candidate,
+                                          const HoldReply& reply) {
     if (reply.m_status == WorkerStatus::OTHER_INCARNATION) {
-        refuteClaim(claimed);
+        rejectCandidate(candidate);
         return;
     }
     if (reply.m_status != WorkerStatus::OK) {
-        // The next heartbeat asks again.
+        // The next heartbeat of the candidate repeats the verification.
         return;
     }
-    WorkerIncarnation living = claimed;
-    living.m_processStartedAt =
-            reply.m_processStartedAt == 0 ? claimed.m_processStartedAt : reply.m_processStartedAt;
-    if (isPresent(living)) {
-        refuteClaim(claimed);
+    WorkerIncarnation present = candidate;
+    present.m_processStartedAt =
+            reply.m_processStartedAt == 0 ? candidate.m_processStartedAt : reply.m_processStartedAt;
+    if (isPresent(present)) {
+        rejectCandidate(candidate);
     } else {
-        changeIncarnation(living);
+        changeIncarnation(present);
     }
 }
 
-void WorkerAgent::refuteClaim(const WorkerIncarnation& claimed) {
+/** Adds the candidate to the previous incarnations. Verifies a newer candidate, if there is one. */
+void WorkerAgent::rejectCandidate(const WorkerIncarnation& candidate) {
     logEvent(Severity::WARNING, "agent", "late-heartbeat",
-             {{"life", claimed.toText()}, {"living", m_incarnationName}});
-    m_previousIncarnations.push_back(claimed);
-    if (m_previousIncarnations.size() > MAX_FORMER_LIVES) {
+             {{"life", candidate.toText()}, {"living", m_incarnationName}});
+    m_previousIncarnations.push_back(candidate);
+    if (m_previousIncarnations.size() > MAX_PREVIOUS_INCARNATIONS) {
         m_previousIncarnations.pop_front();
     }
-    if (m_claim.has_value() && m_claim->m_incarnation == claimed) {
-        m_claim.reset();
+    if (m_candidate.has_value() && m_candidate->m_incarnation == candidate) {
+        m_candidate.reset();
     }
-    verifyClaim();
+    verifyCandidate();
 }
 
-/** A hold that changes nothing at whatever process answers it. */
-void WorkerAgent::look(const std::string& id, std::function<void(const HoldReply&)> done) {
+/** Sends a poll that changes no state, whichever process answers it. */
+void WorkerAgent::probe(const std::string& id, std::function<void(const HoldReply&)> done) {
     m_worker.hold({id, m_fence.get()}, HoldCall(),
                   [done = std::move(done), term = std::weak_ptr(m_term)](const HoldReply& reply) {
                       if (!term.expired()) {
@@ -214,23 +237,26 @@
                   });
 }
 
-/** What the present life ran is lost, and what is known of it holds no more. */
+/** Replaces the present incarnation. Its runs are lost, and its reported state is discarded. */
 void WorkerAgent::changeIncarnation(const WorkerIncarnation& incarnation) {
     endIncarnation();
     m_fullCapacity = Resources();
     m_heartbeat.reset();
-    const bool isClaimed = m_claim.has_value() && m_claim->m_incarnation == incarnation;
-    if (isClaimed) {
-        applyHeartbeat(*m_claim);
-        m_claim.reset();
+    const bool isCandidate = m_candidate.has_value() && m_candidate->m_incarnation == incarnation;
+    if (isCandidate) {
+        applyHeartbeat(*m_candidate);
+        m_candidate.reset();
     }
     beginIncarnation(incarnation);
 }
 
-/** A life that said goodbye did not crash; what one ran that never answered here is not known. */
+/**
+ * Records the end of the present incarnation as a crash if the end was not announced. The runs of
+ * an incarnation that never answered a poll are unknown, so it is not recorded.
+ */
 void WorkerAgent::endIncarnation() {
     const bool wasLeaving = m_heartbeat.has_value() && m_heartbeat->m_isDraining;
-    const std::vector<CrashedRunEntry> runs = m_account.endIncarnation(m_loop.now());
+    const std::vector<CrashedRunEntry> runs = m_incarnationRuns.endIncarnation(m_loop.now());
     if (m_hasExited || !isConfirmed()) {
         return;
     }
@@ -241,9 +267,9 @@
     if (!m_incarnation.isEmpty()) {
         m_previousIncarnations.push_back(m_incarnation);
     }
-    // One that was taken for former is there after all.
+    // An incarnation that was considered a previous one may be running after all.
     std::erase(m_previousIncarnations, incarnation);
-    if (m_previousIncarnations.size() > MAX_FORMER_LIVES) {
+    if (m_previousIncarnations.size() > MAX_PREVIOUS_INCARNATIONS) {
         m_previousIncarnations.pop_front();
     }
     logEvent(Severity::INFO, "agent", "life",
@@ -251,14 +277,14 @@
               {"former", m_incarnation.isEmpty() ? "-" : m_incarnationName}});
     m_incarnation = incarnation;
     m_incarnationName = incarnation.toText();
-    // What was sent while it was not known: the first look under the next fence lists it, or bars
-    // it.
+    // Calls that were sent before the new process was detected may still arrive. The first poll
+    // under the raised fence either lists their runs, or rejects these calls from then on.
     m_fence.raise();
     m_hasExited = false;
     m_isConnectionRefused = false;
     m_answeredAt = m_loop.now();
     m_term = std::make_shared<bool>(true);
-    m_isHolding = false;
+    m_isLongPolling = false;
     m_isVerifying = false;
     m_isAnswering = false;
     m_mustAcknowledge = false;
@@ -267,19 +293,20 @@
     m_running.clear();
     m_ended.clear();
     m_orders.clear();
-    m_pacer.clear();
+    m_throttle.clear();
     m_mustReport = true;
-    hold(Millis(0));
+    poll(Millis(0));
 }
 
 /**
- * A start that went out to the former process may have been done by the present one: what that
- * lists was not lost, and says nothing of how the former one ended.
+ * Completes the pending crashes and adds them to the reported crashes. The present process may have
+ * executed a start that was sent to the previous process. Runs that the present process lists are
+ * not lost, and are not related to the crash.
  */
-void WorkerAgent::resolveCrashes(const HoldReply& firstLook) {
+void WorkerAgent::resolveCrashes(const HoldReply& firstPoll) {
     for (WorkerCrash& crash : m_unresolvedCrashes) {
         std::erase_if(crash.m_runs,
-                      [&](const CrashedRunEntry& run) { return isIn(firstLook, run); });
+                      [&](const CrashedRunEntry& run) { return isListedIn(firstPoll, run); });
         const bool isEmpty = crash.m_runs.empty();
         logEvent(Severity::WARNING, "agent", "worker-crashed",
                  {{"life", crash.m_incarnation},
--- a/libs/control/src/WorkerPool.cpp
+++ b/libs/control/src/WorkerPool.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-/** How often silence and lapsed grants are looked for. */
-constexpr Millis TICK{200};
+/** Interval of the check for idle links and lapsed leases. */
+constexpr Millis TICK_INTERVAL{200};
 constexpr double MILLIS_PER_SECOND = 1000.0;
 
 }  // namespace
@@ -47,7 +47,7 @@
     m_hosts.clear();
     m_linkCounts.clear();
     m_priorityHosts.clear();
-    m_toOpen.clear();
+    m_openQueue.clear();
     for (const auto& [address, timer] : std::exchange(m_opening, {})) {
         m_loop.cancel(timer);
     }
@@ -59,25 +59,27 @@
 }
 
 /**
- * Each question is a message to read and one to write, so that with many hosts they are most of
- * what a leader does. A longer interval lets a lease lapse sooner after a host's death, not later.
+ * Returns the interval between the lease requests of a host. With many hosts, these requests are
+ * most of the load of a leader, since each is a message to read and a message to write. A longer
+ * interval does not delay the lapse of the lease of a failed host; on average the lease lapses
+ * sooner after the failure.
  */
 Millis WorkerPool::getRequestInterval() const {
     const double each = MILLIS_PER_SECOND / m_settings.m_requestsPerSecond;
     const Millis fair(std::llround(each * static_cast<double>(m_hosts.size())));
-    const Millis most(std::llround(m_settings.m_requestIntervalShare *
-                                   static_cast<double>(m_settings.m_grant.count())));
-    return std::max(m_settings.m_minRequestInterval, std::min(fair, most));
+    const Millis longest(std::llround(m_settings.m_requestIntervalShare *
+                                      static_cast<double>(m_settings.m_grant.count())));
+    return std::max(m_settings.m_minRequestInterval, std::min(fair, longest));
 }
 
-/** What a lease may take on a worker's clock that is slow. */
-Millis WorkerPool::withSlack(Millis lease) const {
-    const double slack = m_settings.m_clockSlack * static_cast<double>(lease.count());
-    return lease + Millis(static_cast<std::int64_t>(slack));
+/** Returns the longest time that a lease may last on the slow clock of a worker. */
+Millis WorkerPool::addClockDrift(Millis lease) const {
+    const double drift = m_settings.m_maxClockDrift * static_cast<double>(lease.count());
+    return lease + Millis(static_cast<std::int64_t>(drift));
 }
 
-Millis WorkerPool::getLongestGrant() const {
-    return withSlack(m_settings.m_grant);
+Millis WorkerPool::getMaxLease() const {
+    return addClockDrift(m_settings.m_grant);
 }
 
 void WorkerPool::addHost(const std::string& address) {
@@ -92,9 +94,10 @@
     Host& host = m_hosts[address];
     host.m_address = address;
     host.m_lastReceivedAt = m_loop.now();
-    // An earlier leader may go on granting without the store until its grace is over.
-    host.m_grantedUntil = m_loop.now() + m_settings.m_outageGrace + getLongestGrant();
-    connectSoon(address);
+    // A previous leader without access to the store may continue to grant leases until its grace
+    // period ends.
+    host.m_grantedUntil = m_loop.now() + m_settings.m_outageGrace + getMaxLease();
+    enqueueConnect(address);
 }
 
 const WorkerPool::Host* WorkerPool::findHost(const std::string& address) const {
@@ -108,27 +111,34 @@
         return false;
     }
     if (const auto* const order = std::get_if<RunOrder>(&frame)) {
-        noteOrder(found->second, *order);
+        recordOrder(found->second, *order);
     }
     return found->second.m_link->send(frame);
 }
 
-void WorkerPool::noteOrder(Host& host, const RunOrder& order) {
+/** Records an order that is being sent, and extends the time until which its run may last. */
+void WorkerPool::recordOrder(Host& host, const RunOrder& order) {
     host.m_unreportedOrders[{order.m_task, order.m_run}] = m_loop.now();
-    host.m_grantedUntil = std::max(host.m_grantedUntil, getLeastUntil(host));
+    host.m_grantedUntil = std::max(host.m_grantedUntil, getMinLeaseEnd(host));
 }
 
-/** What a process that nobody has heard of may have begun there ends by then. */
-Millis WorkerPool::getLeastUntil(const Host& host) const {
+/**
+ * Returns the time by which all runs end that an undetected process of the worker may have started.
+ */
+Millis WorkerPool::getMinLeaseEnd(const Host& host) const {
     Millis until = host.m_minLeaseEnd;
     for (const auto& [run, sentAt] : host.m_unreportedOrders) {
-        until = std::max(until, sentAt + withSlack(m_settings.m_longestHold));
+        until = std::max(until, sentAt + addClockDrift(m_settings.m_longestHold));
     }
     return until;
 }
 
-/** What a report shows was begun by the process that it speaks for, under that one's clock. */
-void WorkerPool::takeReport(Host& host, const RunReport& report) {
+/**
+ * Removes the listed runs from the unreported orders, since they were started by the process that
+ * the report describes, with a lease on the clock of that process. Also removes orders that are
+ * older than the longest lease.
+ */
+void WorkerPool::applyReport(Host& host, const RunReport& report) {
     for (const RunningEntry& run : report.m_running) {
         host.m_unreportedOrders.erase({run.m_task, run.m_run});
     }
@@ -136,24 +146,24 @@
         host.m_unreportedOrders.erase({end.m_task, end.m_run});
     }
     std::erase_if(host.m_unreportedOrders, [this](const auto& order) {
-        return order.second + withSlack(m_settings.m_longestHold) < m_loop.now();
+        return order.second + addClockDrift(m_settings.m_longestHold) < m_loop.now();
     });
 }
 
 void WorkerPool::handleFrame(const std::string& address, const Frame& frame) {
     Host& host = m_hosts[address];
     host.m_lastReceivedAt = m_loop.now();
-    if (const auto* const ask = std::get_if<LeaseRequest>(&frame)) {
-        answerLeaseRequest(host, *ask);
+    if (const auto* const leaseRequest = std::get_if<LeaseRequest>(&frame)) {
+        answerLeaseRequest(host, *leaseRequest);
     } else if (const auto* const notice = std::get_if<WorkerNotice>(&frame)) {
-        takeNotice(host, *notice);
+        applyNotice(host, *notice);
         m_listener.handleWorkerChanged(address);
     } else if (const auto* const report = std::get_if<RunReport>(&frame)) {
         const bool isFirst = !std::exchange(host.m_hasReport, true);
-        takeReport(host, *report);
+        applyReport(host, *report);
         m_listener.handleRunReport(address, *report);
         if (isFirst) {
-            noteOpened(address);
+            finishOpening(address);
             m_listener.handleWorkerChanged(address);
         }
     } else if (const auto* const absent = std::get_if<RunAbsent>(&frame)) {
@@ -163,18 +173,18 @@
         m_listener.handleInputNotice(*input);
     } else if (const auto* const request = std::get_if<RelayedRequest>(&frame)) {
         m_listener.handleRelayed(address, *request);
-    } else if (const auto* const asked = std::get_if<GatewayQuery>(&frame)) {
-        host.m_fitness = asked->m_fitness;
+    } else if (const auto* const query = std::get_if<GatewayQuery>(&frame)) {
+        host.m_fitness = query->m_fitness;
         host.m_isLost = false;
-        host.m_grantedUntil = m_loop.now() + getLongestGrant();
-        noteOpened(address);
-        m_listener.handleGatewayQuery(address, *asked);
+        host.m_grantedUntil = m_loop.now() + getMaxLease();
+        finishOpening(address);
+        m_listener.handleGatewayQuery(address, *query);
     }
 }
 
-void WorkerPool::takeNotice(Host& host, const WorkerNotice& notice) {
+void WorkerPool::applyNotice(Host& host, const WorkerNotice& notice) {
     if (!host.m_notice.has_value() || host.m_notice->m_incarnation != notice.m_incarnation) {
-        host.m_minLeaseEnd = m_loop.now() + withSlack(m_settings.m_longestHold);
+        host.m_minLeaseEnd = m_loop.now() + addClockDrift(m_settings.m_longestHold);
         host.m_grantedUntil = std::max(host.m_grantedUntil, host.m_minLeaseEnd);
     }
     host.m_notice = notice;
@@ -184,44 +194,45 @@
     }
 }
 
-void WorkerPool::answerLeaseRequest(Host& host, const LeaseRequest& ask) {
-    if (host.m_isWorkerUnresponsive != ask.m_isWorkerUnresponsive) {
-        host.m_isWorkerUnresponsive = ask.m_isWorkerUnresponsive;
+void WorkerPool::answerLeaseRequest(Host& host, const LeaseRequest& leaseRequest) {
+    if (host.m_isWorkerUnresponsive != leaseRequest.m_isWorkerUnresponsive) {
+        host.m_isWorkerUnresponsive = leaseRequest.m_isWorkerUnresponsive;
         logEvent(Severity::WARNING, "workers", "worker-silence",
                  {{"host", host.m_address},
-                  {"silent", ask.m_isWorkerUnresponsive ? "yes" : "no"},
+                  {"silent", leaseRequest.m_isWorkerUnresponsive ? "yes" : "no"},
                   {"lease_ms", std::to_string((host.m_grantedUntil - m_loop.now()).count())}});
     }
     const Millis sinceConfirmed = m_loop.now() - m_getConfirmedAt();
-    if (sinceConfirmed > m_settings.m_outageGrace || ask.m_isWorkerUnresponsive) {
+    if (sinceConfirmed > m_settings.m_outageGrace || leaseRequest.m_isWorkerUnresponsive) {
         return;
     }
-    host.m_grantedUntil = std::max(host.m_grantedUntil, m_loop.now() + getLongestGrant());
+    host.m_grantedUntil = std::max(host.m_grantedUntil, m_loop.now() + getMaxLease());
     if (host.m_hasReport) {
-        // From here on this leader knows what runs there: earlier leaders' grants don't matter.
-        host.m_grantedUntil = std::max(m_loop.now() + getLongestGrant(), getLeastUntil(host));
+        // The runs on the host are now known to this leader, so that leases granted by previous
+        // leaders no longer matter.
+        host.m_grantedUntil = std::max(m_loop.now() + getMaxLease(), getMinLeaseEnd(host));
     }
     host.m_isLost = false;
     const auto ttl = static_cast<std::uint64_t>(m_settings.m_grant.count());
-    const auto askAfter = static_cast<std::uint64_t>(getRequestInterval().count());
-    host.m_link->send(LeaseRenewal{m_epoch, ask.m_sequence, ttl, askAfter});
+    const auto nextRequestMs = static_cast<std::uint64_t>(getRequestInterval().count());
+    host.m_link->send(LeaseRenewal{m_epoch, leaseRequest.m_sequence, ttl, nextRequestMs});
 }
 
 void WorkerPool::tick() {
-    std::vector<std::string> silent;
+    std::vector<std::string> unresponsive;
     std::vector<std::string> lost;
     const Millis now = m_loop.now();
-    const Millis silence = getRequestInterval() + m_settings.m_linkTimeout;
+    const Millis timeout = getRequestInterval() + m_settings.m_linkTimeout;
     for (auto& [address, host] : m_hosts) {
-        if (host.isLinked() && now - host.m_lastReceivedAt > silence) {
-            silent.push_back(address);
+        if (host.isLinked() && now - host.m_lastReceivedAt > timeout) {
+            unresponsive.push_back(address);
         }
         if (!host.m_isLost && now > host.m_grantedUntil) {
             host.m_isLost = true;
             lost.push_back(address);
         }
     }
-    for (const std::string& address : silent) {
+    for (const std::string& address : unresponsive) {
         dropLink(address, "silent");
     }
     for (const std::string& address : lost) {
@@ -230,7 +241,7 @@
     }
     countGateways();
     removeExpiredHosts();
-    m_loop.callLater(TICK, [this, term = std::weak_ptr(m_term)] {
+    m_loop.callLater(TICK_INTERVAL, [this, term = std::weak_ptr(m_term)] {
         if (!term.expired()) {
             tick();
         }
@@ -248,15 +259,15 @@
 }
 
 void WorkerPool::removeExpiredHosts() {
-    std::vector<std::string> gone;
+    std::vector<std::string> expiredHosts;
     for (const auto& [address, host] : m_hosts) {
-        const bool isGone = !host.isLinked() && host.m_isLost &&
-                            m_loop.now() - host.m_lastReceivedAt > m_settings.m_hostExpiry;
-        if (isGone) {
-            gone.push_back(address);
+        const bool isExpired = !host.isLinked() && host.m_isLost &&
+                               m_loop.now() - host.m_lastReceivedAt > m_settings.m_hostExpiry;
+        if (isExpired) {
+            expiredHosts.push_back(address);
         }
     }
-    for (const std::string& address : gone) {
+    for (const std::string& address : expiredHosts) {
         m_hosts.erase(address);
         logEvent(Severity::WARNING, "workers", "host-forgotten",
                  {{"host", address},
--- a/libs/control/src/WorkerPoolLinks.cpp
+++ b/libs/control/src/WorkerPoolLinks.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// How a WorkerPool opens its links, and gives them up.
+// WorkerPool: opening and closing of links.
 #include <utility>
 
 #include "pierbank/base/Log.h"
@@ -8,34 +8,36 @@
 namespace pierbank {
 
 /**
- * A host registers when it starts, and when it has no leader. A link to its former process may say
- * nothing of that for `m_linkTimeout`, and a connection that was begun while it was without power
- * only goes on when the first packet is sent again, after a second.
+ * Connects again to a host that registered. A host registers when it starts, and while no leader is
+ * linked. A link to its previous process may show no failure for `m_linkTimeout`. A connection
+ * attempt that began while the host was without power continues only with the retransmission of its
+ * first packet, after a second.
  */
 void WorkerPool::reconnect(Host& host) {
-    const Millis quiet = getRequestInterval() + m_settings.m_idleSlack;
-    const bool isQuiet = m_loop.now() - host.m_lastReceivedAt > quiet;
-    if (host.isLinked() && isQuiet) {
+    const Millis maxIdleTime = getRequestInterval() + m_settings.m_idleSlack;
+    const bool isIdle = m_loop.now() - host.m_lastReceivedAt > maxIdleTime;
+    if (host.isLinked() && isIdle) {
         dropLink(host.m_address, "registered anew");
     }
     host.m_isConnecting = false;
-    noteOpened(host.m_address);
-    connectSoon(host.m_address);
+    finishOpening(host.m_address);
+    enqueueConnect(host.m_address);
 }
 
-void WorkerPool::connectSoon(const std::string& address) {
+/** Queues a host to be connected. */
+void WorkerPool::enqueueConnect(const std::string& address) {
     if (m_priorityHosts.count(address) != 0) {
-        m_toOpen.push_front(address);
+        m_openQueue.push_front(address);
     } else {
-        m_toOpen.push_back(address);
+        m_openQueue.push_back(address);
     }
-    openNext();
+    openQueuedLinks();
 }
 
-void WorkerPool::openNext() {
-    while (!m_toOpen.empty() && m_opening.size() < m_settings.m_maxOpeningLinks) {
-        const std::string address = std::move(m_toOpen.front());
-        m_toOpen.pop_front();
+void WorkerPool::openQueuedLinks() {
+    while (!m_openQueue.empty() && m_opening.size() < m_settings.m_maxOpeningLinks) {
+        const std::string address = std::move(m_openQueue.front());
+        m_openQueue.pop_front();
         const auto found = m_hosts.find(address);
         const bool isWanted = found != m_hosts.end() && !found->second.isLinked() &&
                               !found->second.m_isConnecting && m_opening.count(address) == 0;
@@ -45,21 +47,25 @@
         m_opening[address] = m_loop.callLater(m_settings.m_linkOpenTimeout,
                                               [this, address, term = std::weak_ptr(m_term)] {
                                                   if (!term.expired()) {
-                                                      noteOpened(address);
+                                                      finishOpening(address);
                                                   }
                                               });
         connect(address);
     }
-    m_isOpeningInitialLinks = m_isOpeningInitialLinks && !(m_toOpen.empty() && m_opening.empty());
+    m_isOpeningInitialLinks =
+            m_isOpeningInitialLinks && !(m_openQueue.empty() && m_opening.empty());
 }
 
-/** A link was opened and its host has told what runs there, or it has had its time. */
-void WorkerPool::noteOpened(const std::string& address) {
+/**
+ * Ends the opening of a link, because the host has sent its first report or its time is over, and
+ * opens the next links.
+ */
+void WorkerPool::finishOpening(const std::string& address) {
     const auto found = m_opening.find(address);
     if (found != m_opening.end()) {
         m_loop.cancel(found->second);
         m_opening.erase(found);
-        openNext();
+        openQueuedLinks();
     }
 }
 
@@ -83,7 +89,7 @@
 void WorkerPool::handleConnected(const std::string& address, std::shared_ptr<Link> link) {
     const auto found = m_hosts.find(address);
     if (found == m_hosts.end()) {
-        // Forgotten meanwhile.
+        // The host was removed while the connection was being established.
         if (link != nullptr) {
             link->close();
         }
@@ -91,24 +97,24 @@
     }
     found->second.m_isConnecting = false;
     if (found->second.isLinked()) {
-        // Another try was quicker.
+        // Another connection attempt succeeded first.
         if (link != nullptr) {
             link->close();
         }
         return;
     }
     if (link == nullptr) {
-        noteOpened(address);
-        connectLater(address);
+        finishOpening(address);
+        scheduleReconnect(address);
         return;
     }
     handleLink(address, std::move(link));
 }
 
-void WorkerPool::connectLater(const std::string& address) {
-    m_loop.callLater(m_settings.m_reconnectPause, [this, address, term = std::weak_ptr(m_term)] {
+void WorkerPool::scheduleReconnect(const std::string& address) {
+    m_loop.callLater(m_settings.m_reconnectDelay, [this, address, term = std::weak_ptr(m_term)] {
         if (!term.expired()) {
-            connectSoon(address);
+            enqueueConnect(address);
         }
     });
 }
@@ -134,7 +140,7 @@
     logEvent(Severity::INFO, "workers", "linked", {{"host", address}});
 }
 
-void WorkerPool::dropLink(const std::string& address, std::string_view why) {
+void WorkerPool::dropLink(const std::string& address, std::string_view reason) {
     Host& host = m_hosts[address];
     if (host.m_link == nullptr) {
         return;
@@ -143,8 +149,8 @@
     host.m_link.reset();
     host.m_hasReport = false;
     logEvent(Severity::WARNING, "workers", "unlinked",
-             {{"host", address}, {"reason", std::string(why)}});
-    connectLater(address);
+             {{"host", address}, {"reason", std::string(reason)}});
+    scheduleReconnect(address);
     m_listener.handleWorkerChanged(address);
 }
 
--- a/libs/control/test/PendingOrdersTest.cpp
+++ b/libs/control/test/PendingOrdersTest.cpp
@@ -15,7 +15,7 @@
 
 const TaskKey TASK{"00000000000000a1", 0, 0, 0};
 
-/** A sidecar that has a lease, or waits for one. */
+/** A context with a lease that tests can withhold. */
 class FakeOrderContext final : public OrderContext {
 public:
     explicit FakeOrderContext(const FakeTaskWorker& worker) : m_worker(worker) {}
@@ -28,7 +28,7 @@
         return m_worker.isRunning(task);
     }
     bool isEnded(const TaskKey&, std::uint32_t) const override { return false; }
-    std::uint64_t pollAgain() override { return ++m_looks; }
+    std::uint64_t pollAgain() override { return ++m_polls; }
     void recordSent(const TaskKey&, std::uint32_t) override { ++m_sent; }
     void recordStarted(const TaskKey&, std::uint32_t) override {}
     void recordRefused(const TaskKey&, std::uint32_t) override {}
@@ -37,7 +37,7 @@
     }
 
     bool m_hasLease = true;
-    std::uint64_t m_looks = 0;
+    std::uint64_t m_polls = 0;
     std::size_t m_sent = 0;
     std::string m_absent;
 
@@ -53,20 +53,20 @@
         order.m_task = TASK.toText();
         order.m_run = 1;
         order.m_payload = "1000";
-        m_book.start(TASK, order);
+        m_pendingOrders.start(TASK, order);
         m_loop.advance(Millis(20));
     }
 
-    void letBarBeSeen() {
+    void pollAfterStop() {
         m_loop.advance(Millis(100));
-        m_book.handlePoll(m_context.m_looks);
+        m_pendingOrders.handlePoll(m_context.m_polls);
     }
 
     ManualEventLoop m_loop;
     RunWitness m_witness;
     FakeTaskWorker m_worker{m_loop, m_witness, "w"};
     FakeOrderContext m_context{m_worker};
-    PendingOrders m_book{m_loop, m_worker, m_context, PendingOrdersSettings()};
+    PendingOrders m_pendingOrders{m_loop, m_worker, m_context, PendingOrdersSettings()};
 };
 
 class AnOrderWithoutALease : public PendingOrdersTest {
@@ -77,39 +77,45 @@
     }
 };
 
-TEST_F(AnOrderWithoutALease, WaitsForOne) {
+TEST_F(AnOrderWithoutALease, WaitsForALease) {
     m_loop.advance(Millis(1000));
     EXPECT_EQ(m_context.m_sent, 0U);
     m_context.m_hasLease = true;
-    m_book.pump();
+    m_pendingOrders.sendWaitingStarts();
     m_loop.advance(Millis(20));
     EXPECT_TRUE(m_worker.isRunning(TASK));
 }
 
-/** It was carried out with whatever lease came next, however long after the leader's decision. */
-TEST_F(AnOrderWithoutALease, IsBarredWhenTheLeaseComesTooLate) {
+/**
+ * An order waited without limit and was executed with the next lease, however long after the
+ * decision of the leader. An order older than the limit must be rejected.
+ */
+TEST_F(AnOrderWithoutALease, IsPreventedWhenTheLeaseComesTooLate) {
     m_loop.advance(Millis(2000));
     m_context.m_hasLease = true;
-    m_book.pump();
-    letBarBeSeen();
+    m_pendingOrders.sendWaitingStarts();
+    pollAfterStop();
     EXPECT_FALSE(m_worker.isRunning(TASK));
     EXPECT_EQ(m_context.m_sent, 0U);
     EXPECT_EQ(m_context.m_absent, "the order is too old");
 }
 
-/** A third try began a run once more, in the worker's next process. */
+/**
+ * Without this rule, the third attempt started the run a second time, in the next process of the
+ * worker.
+ */
 TEST_F(PendingOrdersTest, AStartWhoseRunIsListedIsNotTriedAgain) {
     m_worker.m_startsToDelay = 2;
     m_worker.m_startDelay = Millis(100);
     start();
     m_loop.advance(Millis(200));
     ASSERT_TRUE(m_worker.isRunning(TASK));
-    m_book.handlePoll(++m_context.m_looks);
+    m_pendingOrders.handlePoll(++m_context.m_polls);
     m_loop.advance(Millis(3000));
     EXPECT_EQ(m_context.m_sent, 1U);
 }
 
-TEST_F(PendingOrdersTest, AStartWithoutAnAnswerIsTriedThreeTimesWithinTheLifeOfItsOrder) {
+TEST_F(PendingOrdersTest, AStartWithoutAnAnswerIsTriedThreeTimesWithinTheMaximumAgeOfItsOrder) {
     m_worker.m_isSilent = true;
     start();
     for (int i = 0; i < 50; ++i) {
--- a/libs/control/test/WorkerFenceTest.cpp
+++ b/libs/control/test/WorkerFenceTest.cpp
@@ -48,15 +48,15 @@
     EXPECT_GT(next.get(), late);
 }
 
-TEST_F(WorkerFenceTest, StillRisesWhenLinksAreNotCountedAnyMore) {
+TEST_F(WorkerFenceTest, StillRisesBeyondTheMaximumLinkCount) {
     const std::uint64_t one = link(7, 1'000'000);
     EXPECT_GT(link(7, 1'000'001), one);
 }
 
-TEST_F(WorkerFenceTest, IsKeptExactlyByEveryReaderOfNumbers) {
-    constexpr std::uint64_t MOST_EXACT = 1ULL << 53U;
+TEST_F(WorkerFenceTest, IsExactInEveryNumberParser) {
+    constexpr std::uint64_t MAX_EXACT = 1ULL << 53U;
     constexpr std::uint64_t HALF_A_BILLION = 500'000'000;
-    EXPECT_LT(link(HALF_A_BILLION, 1'000'000), MOST_EXACT);
+    EXPECT_LT(link(HALF_A_BILLION, 1'000'000), MAX_EXACT);
 }
 
 }  // namespace
