--- a/libs/control/include/pierbank/control/TaskThrottle.h
+++ b/libs/control/include/pierbank/control/TaskThrottle.h
@@ -56,7 +56,8 @@
     /** Returns whether the run was added. */
     bool hasRun(const RunKey& run) const { return m_kinds.count(run) != 0; }
     /**
-     * Returns whether both kinds of task run on the worker, so that frequent polls are worthwhile.
+     * Returns whether serving and filling tasks run on the worker together, so that frequent polls
+     * are worthwhile.
      */
     bool isNeeded() const noexcept { return m_isNeeded; }
     /**
@@ -66,8 +67,8 @@
      */
     std::vector<ThrottleCall> update(const std::vector<ListedRun>& running, Millis now);
     /**
-     * Discards the share that was sent to a run, because the call failed. update() sends the share
-     * again.
+     * Discards the share that was sent to a run, because the call failed. The run then counts as
+     * unthrottled, so that update() sends any share below 100 again.
      */
     void discardPercent(const RunKey& run) { m_sentPercents.erase(run); }
     /** Removes all runs, because the worker has a new incarnation. */
--- a/libs/control/include/pierbank/control/TicketCache.h
+++ b/libs/control/include/pierbank/control/TicketCache.h
@@ -38,6 +38,7 @@
     std::vector<std::string> m_incarnations;
 };
 
+/** Settings of the TicketCache. */
 struct TicketCacheSettings {
     /**
      * Maximum number of workers in one query. Each worker adds to the answer time, and according to
--- a/libs/control/include/pierbank/control/WorkerPool.h
+++ b/libs/control/include/pierbank/control/WorkerPool.h
@@ -27,9 +27,7 @@
      * sidecar.
      */
     Millis m_grant{4500};
-    /**
-     * Fraction by which the steady clock of a worker may be slow, so that its lease lasts longer.
-     */
+    /** Fraction by which the steady clock of a worker may be slow, which prolongs its lease. */
     double m_maxClockDrift = 0.03;
     /**
      * Longest lease that a worker accepts, whatever length is requested. Guaranteed by the
@@ -57,7 +55,7 @@
     double m_requestIntervalShare = 1.0 / 3;
     /**
      * A link that has been idle for longer than the request interval plus this time is assumed to
-     * belong to a previous process of a host that registers anew.
+     * belong to a previous process, if its host registers again.
      */
     Millis m_idleSlack{200};
     /** A link that has been idle for longer than the request interval plus this time is closed. */
@@ -74,8 +72,7 @@
     Millis m_linkOpenTimeout{100};
     /**
      * Time after which an unreachable host is removed; a host that is still alive registers again.
-     * Large parts of a fleet are replaced each day (for example 240 of 690 hosts), and their
-     * addresses would accumulate.
+     * About a third of the hosts may be replaced each day, and their addresses would accumulate.
      */
     Millis m_hostExpiry{600'000};
 };
@@ -98,7 +95,7 @@
     /** A gateway that cannot reach the store forwards the request of a caller. */
     virtual void handleRelayed(const std::string& host, const RelayedRequest& request) = 0;
     /** A gateway queries the age of the configuration. */
-    virtual void handleGatewayQuery(const std::string& host, const GatewayQuery& leaseRequest) = 0;
+    virtual void handleGatewayQuery(const std::string& host, const GatewayQuery& query) = 0;
     /**
      * The lease of the host lapsed: all runs that were started there under earlier leases have
      * certainly ended.
--- a/libs/control/src/WorkerAgentHold.cpp
+++ b/libs/control/src/WorkerAgentHold.cpp
@@ -196,8 +196,8 @@
 /**
  * Records whether a process was listening at the last poll. A refused connection does not prove
  * that the process has ended, because a network partition may also cause it. Nevertheless the
- * worker must not receive new work: jobs that were placed on such a worker had to wait for its next
- * incarnation, for 2.6 s in an observed case.
+ * worker must not receive new work: jobs that were placed on such a worker waited for its next
+ * incarnation, in one case for 2.6 s.
  */
 void WorkerAgent::recordConnectionRefused(bool isRefused) {
     const bool wasUnresponsive = isWorkerUnresponsive();
