--- a/libs/store/include/pierbank/store/CountedStore.h
+++ b/libs/store/include/pierbank/store/CountedStore.h
@@ -11,14 +11,16 @@
 
 namespace pierbank {
 
-/** Passes every call on and counts it, by kind and by the first part of the key that it is about.
- */
+/** Forwards every call to another store and counts the calls by kind and by family of keys. */
 class CountedStore final : public RecordStore {
 public:
-    /** Kind of call (`read`, `watch`, ...) and family of keys (`input`, `run`, ...). */
+    /**
+     * Numbers of calls by kind of call (`read`, `watch`, ...) and family of keys, which is the
+     * first part of the key (`input`, `run`, ...).
+     */
     using Counts = std::map<std::pair<std::string, std::string>, std::uint64_t>;
 
-    /** The store must outlive this. */
+    /** The store must outlive this object. */
     explicit CountedStore(RecordStore& store) : m_store(store) {}
 
     const Counts& getCounts() const noexcept { return m_counts; }
@@ -27,9 +29,9 @@
     void readNewer(std::string_view key, StoreRevision revision,
                    std::function<void(const StoreRead&)> done) override;
     void list(std::string_view prefix, std::function<void(const StoreList&)> done) override;
-    void watch(std::string_view prefix, StoreRevision after, Millis wait,
+    void watch(std::string_view prefix, StoreRevision after, Millis maxWait,
                std::function<void(const StoreChanges&)> done) override;
-    void commit(const StoreTransaction& transaction, Millis patience,
+    void commit(const StoreTransaction& transaction, Millis timeout,
                 std::function<void(const StoreCommit&)> done) override;
     void createLease(Millis timeToLive, std::function<void(const StoreLeaseReply&)> done) override;
     void renewLease(StoreLease lease, std::function<void(const StoreLeaseReply&)> done) override;
--- a/libs/store/include/pierbank/store/RecordStore.h
+++ b/libs/store/include/pierbank/store/RecordStore.h
@@ -13,50 +13,50 @@
 
 namespace pierbank {
 
-/** The store's counter of changes; zero as the revision of a key means that the key is absent. */
+/** Value of the store's change counter. A key's revision of zero means that the key is absent. */
 using StoreRevision = std::uint64_t;
 
-/** A lease of the store; keys written under it go when it lapses. Zero names none. */
+/** Id of a lease; keys written under a lease are removed when the lease lapses. Zero: no lease. */
 using StoreLease = std::uint64_t;
 
-/** How a call of the store ended. */
+/** Outcome of a call of the store. */
 enum class StoreStatus {
     OK,
-    /** A condition did not hold; surely nothing was changed. */
+    /** A condition did not hold; definitely nothing was changed. */
     CONFLICT,
     /** The key or the lease does not exist. */
     NOT_FOUND,
-    /** Not reached, or refused: surely nothing was changed. */
+    /** The store was not reached, or refused the call; definitely nothing was changed. */
     REFUSED,
-    /** No whole answer: a write may have taken effect, or may do so seconds later. */
+    /** No complete answer: a write may have taken effect, or may still do so seconds later. */
     UNKNOWN,
-    /** A watch asked for changes that the store no longer remembers: list again. */
+    /** The store no longer has the changes that a watch requested: list again. */
     HISTORY_GONE,
 };
 
 std::string_view toText(StoreStatus status);
 
-/** One key as the store holds it. An absent key has revision zero. */
+/** One key with its value and revision. An absent key has revision zero. */
 struct StoreItem {
     std::string m_key;
     std::string m_value;
     StoreRevision m_revision = 0;
 };
 
-/** A condition: the key has this revision now. */
+/** Condition of a transaction: the key has this revision. */
 struct StoreCondition {
     std::string m_key;
     StoreRevision m_revision = 0;
 };
 
-/** A key to write. */
+/** Write of a key, optionally under a lease. */
 struct StorePut {
     std::string m_key;
     std::string m_value;
     StoreLease m_lease = 0;
 };
 
-/** Changes that take effect together, if all conditions hold. */
+/** Changes that take effect atomically if all conditions hold. */
 struct StoreTransaction {
     std::vector<StoreCondition> m_conditions;
     std::vector<StorePut> m_puts;
@@ -67,7 +67,7 @@
     }
 };
 
-/** Outcome of a transaction. On CONFLICT, `m_items` are the keys of the conditions as they are. */
+/** Outcome of a transaction. On CONFLICT, `m_items` has the current state of the condition keys. */
 struct StoreCommit {
     StoreStatus m_status = StoreStatus::UNKNOWN;
     StoreRevision m_revision = 0;
@@ -75,7 +75,7 @@
     std::string m_reason;
 };
 
-/** Outcome of reading one key, as the store stood at revision `m_at`. */
+/** Outcome of reading one key, as of the store's revision `m_at`. */
 struct StoreRead {
     StoreStatus m_status = StoreStatus::UNKNOWN;
     StoreItem m_item;
@@ -83,7 +83,7 @@
     std::string m_reason;
 };
 
-/** Outcome of listing a prefix: not a snapshot; a watch from `m_at` tells what it missed. */
+/** Outcome of listing a prefix. Not a snapshot; a watch from `m_at` delivers missed changes. */
 struct StoreList {
     StoreStatus m_status = StoreStatus::UNKNOWN;
     std::vector<StoreItem> m_items;
@@ -91,13 +91,13 @@
     std::string m_reason;
 };
 
-/** One change seen by a watch; a removed key has `m_isDeleted`. */
+/** One change of a key. */
 struct StoreEvent {
     StoreItem m_item;
     bool m_isDeleted = false;
 };
 
-/** Outcome of one watch call; the next one continues after `m_at`. */
+/** Outcome of one watch; the next watch continues after revision `m_at`. */
 struct StoreChanges {
     StoreStatus m_status = StoreStatus::UNKNOWN;
     std::vector<StoreEvent> m_events;
@@ -113,36 +113,46 @@
 };
 
 /**
- * The platform's store, the only place where anything lasts. Every call counts towards rates that
- * all processes share. Each callback is called exactly once, on the loop, never from inside the
- * call. Reads and lists are linearizable.
+ * The platform's key-value store, which contains all persistent state of the system. Every call
+ * counts towards rate limits that all processes share. Each callback is called exactly once, on the
+ * event loop and never from within the call. Reads and lists are linearizable.
  */
 class RecordStore {
 public:
-    /** Conditions, writes and removals of one transaction together. */
+    /** Maximum number of conditions, writes and removals of one transaction together. */
     static constexpr std::size_t MAX_ENTRIES = 32;
 
     virtual ~RecordStore() = default;
 
+    /** Reads a key. */
     virtual void read(std::string_view key, std::function<void(const StoreRead&)> done) = 0;
     /**
-     * The same, and the value is left out if the key still has `revision` (not zero): confirming
-     * what is known costs the store and the link next to nothing, however large the value is.
+     * Reads a key, but omits the value if the key still has `revision`, which must not be zero.
+     * Confirming a known value then costs the store and the link very little, however large the
+     * value is.
      */
     virtual void readNewer(std::string_view key, StoreRevision revision,
                            std::function<void(const StoreRead&)> done) = 0;
+    /** Lists the keys with a prefix. */
     virtual void list(std::string_view prefix, std::function<void(const StoreList&)> done) = 0;
-    /** Answers as soon as something changed after a revision, or about `wait` later with nothing.
+    /**
+     * Watches the keys with a prefix. Answers as soon as there are changes after revision `after`,
+     * or with no events after about `maxWait`.
      */
-    virtual void watch(std::string_view prefix, StoreRevision after, Millis wait,
+    virtual void watch(std::string_view prefix, StoreRevision after, Millis maxWait,
                        std::function<void(const StoreChanges&)> done) = 0;
-    /** @param patience after this time without an answer the outcome is UNKNOWN. */
-    virtual void commit(const StoreTransaction& transaction, Millis patience,
+    /**
+     * Runs a transaction.
+     * @param timeout without an answer after this time, the outcome is UNKNOWN.
+     */
+    virtual void commit(const StoreTransaction& transaction, Millis timeout,
                         std::function<void(const StoreCommit&)> done) = 0;
+    /** Creates a lease; the store may grant a longer time than requested. */
     virtual void createLease(Millis timeToLive,
                              std::function<void(const StoreLeaseReply&)> done) = 0;
+    /** Renews a lease; NOT_FOUND if the lease has lapsed. */
     virtual void renewLease(StoreLease lease, std::function<void(const StoreLeaseReply&)> done) = 0;
-    /** Ends a lease; its keys go at once. Nobody is told how it went: it would lapse anyhow. */
+    /** Ends a lease and removes its keys. Has no callback, since the lease would lapse anyway. */
     virtual void endLease(StoreLease lease) = 0;
 };
 
--- a/libs/store/src/CountedStore.cpp
+++ b/libs/store/src/CountedStore.cpp
@@ -37,16 +37,16 @@
     m_store.list(prefix, std::move(done));
 }
 
-void CountedStore::watch(std::string_view prefix, StoreRevision after, Millis wait,
+void CountedStore::watch(std::string_view prefix, StoreRevision after, Millis maxWait,
                          std::function<void(const StoreChanges&)> done) {
     count("watch", prefix);
-    m_store.watch(prefix, after, wait, std::move(done));
+    m_store.watch(prefix, after, maxWait, std::move(done));
 }
 
-void CountedStore::commit(const StoreTransaction& transaction, Millis patience,
+void CountedStore::commit(const StoreTransaction& transaction, Millis timeout,
                           std::function<void(const StoreCommit&)> done) {
     count("commit", getFirstKey(transaction));
-    m_store.commit(transaction, patience, std::move(done));
+    m_store.commit(transaction, timeout, std::move(done));
 }
 
 void CountedStore::createLease(Millis timeToLive,
--- a/libs/store/test/CountedStoreTest.cpp
+++ b/libs/store/test/CountedStoreTest.cpp
@@ -17,7 +17,7 @@
     CountedStore m_counted{m_store};
 };
 
-TEST_F(CountedStoreTest, PassesCallsOnAndCountsThemByKindAndFamily) {
+TEST_F(CountedStoreTest, ForwardsCallsAndCountsThemByKindAndFamily) {
     StoreTransaction transaction;
     transaction.m_puts = {{"input/job/1", "v", 0}};
     bool isCommitted = false;
@@ -39,8 +39,11 @@
     EXPECT_EQ(m_counted.getCounts(), expected);
 }
 
-/** The families of long keys that are only removed named what lay in freed memory. */
-TEST_F(CountedStoreTest, CountsATransactionThatOnlyRemovesByWhatItRemoves) {
+/**
+ * Guards against a dangling view of the key: for a transaction that only removes, the family of a
+ * long key was once read from freed memory.
+ */
+TEST_F(CountedStoreTest, CountsATransactionThatOnlyRemovesByTheRemovedKey) {
     StoreTransaction transaction;
     transaction.m_removals = {"input/gateway/127.0.0.1:7001/and-longer-than-a-short-string"};
     m_counted.commit(transaction, Millis(1000), [](const StoreCommit&) {});
@@ -49,7 +52,7 @@
     EXPECT_EQ(m_counted.getCounts(), expected);
 }
 
-TEST_F(CountedStoreTest, CountsBecomeOneMetricWithLabels) {
+TEST_F(CountedStoreTest, CountsAreExportedAsOneMetricWithLabels) {
     MetricsPage page;
     page.addCounters("calls_total", "calls", {{"kind=\"read\"", 3}, {"kind=\"list\"", 1}});
     EXPECT_NE(page.getText().find("calls_total{kind=\"read\"} 3\n"), std::string::npos);
