--- a/libs/wire/include/pierbank/wire/Frame.h
+++ b/libs/wire/include/pierbank/wire/Frame.h
@@ -9,30 +9,34 @@
 
 namespace pierbank {
 
-// The messages between gateways and sidecars. FrameCodec turns them into CBOR and back.
+// The messages between gateways and sidecars. FrameCodec encodes them as CBOR.
 
 /**
- * Sidecar to gateway: asks for the lease, and is the worker's heartbeat. The lease counts from the
- * moment of asking, so that an answer which was delayed anywhere cannot lengthen it.
+ * Sidecar to gateway: requests a renewal of the worker's lease and serves as the worker's
+ * heartbeat. The lease counts from the time at which the request was sent, so that a delayed answer
+ * can't extend the lease.
  */
 struct LeaseRequest {
     std::uint64_t m_sequence = 0;
-    /** The worker does not answer its sidecar: this is only a sign of life of the sender. */
+    /** Whether the worker is unresponsive; the request is then a heartbeat of the sidecar only. */
     bool m_isWorkerUnresponsive = false;
     bool operator==(const LeaseRequest&) const = default;
 };
 
-/** Gateway to sidecar: lets a worker run tasks until so long after it asked with `sequence`. */
+/**
+ * Gateway to sidecar: allows the worker to run tasks for `m_timeToLiveMs` from the time at which
+ * the request with the number `m_sequence` was sent.
+ */
 struct LeaseRenewal {
     std::uint64_t m_epoch = 0;
     std::uint64_t m_sequence = 0;
     std::uint64_t m_timeToLiveMs = 0;
-    /** When to ask again; zero: as the sidecar is set. */
+    /** Time until the next request; zero: the sidecar's own setting applies. */
     std::uint64_t m_nextRequestMs = 0;
     bool operator==(const LeaseRenewal&) const = default;
 };
 
-/** Accepted jobs of one queue that have not begun. */
+/** Number of accepted jobs of one queue that have not started. */
 struct PendingEntry {
     std::string m_queue;
     std::uint64_t m_jobs = 0;
@@ -40,38 +44,38 @@
 };
 
 /**
- * Gateway to leader: how old is the configuration, and how many jobs are pending? Also the
- * gateway's sign of life.
+ * Gateway to leader: queries the age of the configuration and, optionally, the numbers of pending
+ * jobs. Also serves as the gateway's heartbeat.
  */
 struct GatewayQuery {
     /** Unique on the link, from 1. */
     std::uint64_t m_number = 0;
-    /** How well the sender could lead (LeadershipCandidacy). */
+    /** Fitness of the sender to lead, see LeadershipCandidacy::getFitness(). */
     std::uint32_t m_fitness = 0;
-    /** The pending jobs are asked for too. */
+    /** Whether the reply should contain the numbers of pending jobs. */
     bool m_wantsPending = false;
     bool operator==(const GatewayQuery&) const = default;
 };
 
 /**
- * Leader to gateway: the configuration that it has. An answer to a question says how long before
- * the answer the read was sent that confirmed it, so that no clock is compared; the receiver counts
- * from the sending of its question. Without a question (number zero) it only says that there is a
- * newer one.
+ * Leader to gateway: the revision and age of the leader's configuration. In a reply to a query the
+ * age is the time between the sending of the confirming read and the reply. The receiver counts
+ * this age from the sending of its query, so that no clocks are compared. An unsolicited reply
+ * (number zero) only announces a newer revision.
  */
 struct GatewayReply {
     std::uint64_t m_number = 0;
-    /** The store's revision; zero: the leader has none. */
+    /** Store revision of the leader's configuration; zero: the leader has none. */
     std::uint64_t m_revision = 0;
     std::uint64_t m_ageMs = 0;
-    /** When to ask again; zero: as the gateway is set. */
+    /** Time until the next query; zero: the gateway's own setting applies. */
     std::uint64_t m_nextRequestMs = 0;
-    /** Gateways that are linked, and the best fitness among them and the leader. */
+    /** Number of linked gateways, and the best fitness among them and the leader. */
     std::uint32_t m_gateways = 0;
     std::uint32_t m_bestFitness = 0;
-    /** They were asked for, and the sender surely leads. */
+    /** Whether m_pending is valid: requested, and the sender's leadership is confirmed. */
     bool m_knowsPending = false;
-    /** Queues without any are left out. */
+    /** Queues without pending jobs are omitted. */
     std::vector<PendingEntry> m_pending;
     bool operator==(const GatewayReply&) const = default;
 };
@@ -85,11 +89,12 @@
     std::string m_path;
     std::string m_key;
     std::string m_body;
+    /** Time left until the caller's timeout. */
     std::uint64_t m_remainingMs = 0;
     bool operator==(const RelayedRequest&) const = default;
 };
 
-/** Leader to gateway: its answer. */
+/** Leader to gateway: the answer to a RelayedRequest. */
 struct RelayedAnswer {
     std::uint64_t m_number = 0;
     std::uint32_t m_status = 0;
@@ -97,40 +102,40 @@
     bool operator==(const RelayedAnswer&) const = default;
 };
 
-/** Leader to sidecar, first frame: from now on orders of lower epochs are refused. */
+/** Leader to sidecar or gateway, first frame: fences off the leaders of lower epochs. */
 struct LeaderHello {
     std::uint64_t m_epoch = 0;
     std::string m_node;
-    /** Counts the links of this leader to this host, from 1. */
+    /** Number of this link among those of this leader to this host, from 1. */
     std::uint64_t m_link = 0;
     bool operator==(const LeaderHello&) const = default;
 };
 
-/** One run that had begun, or may have, on a worker that crashed. */
+/** One run that had started, or may have started, on a worker that crashed. */
 struct CrashedRunEntry {
     std::string m_task;
     std::uint32_t m_run = 0;
-    /** From its start until the worker was first seen not to answer, in milliseconds. */
+    /** Time from the start until the worker was first seen unresponsive, in milliseconds. */
     std::uint64_t m_ranMs = 0;
-    /** The worker had said that it runs; else its start was never answered. */
+    /** Whether the worker had confirmed the run; otherwise the start was never answered. */
     bool m_isConfirmed = false;
     bool operator==(const CrashedRunEntry&) const = default;
 };
 
-/** A life of the worker that another followed although it never said goodbye. */
+/** Incarnation of a worker that was followed by another without having announced its exit. */
 struct WorkerCrash {
     std::string m_incarnation;
-    /** It was draining, so that it may have gone for that. */
+    /** Whether the incarnation was draining, which may explain the exit. */
     bool m_wasLeaving = false;
     std::vector<CrashedRunEntry> m_runs;
     bool operator==(const WorkerCrash&) const = default;
 };
 
-/** Sidecar to leader: the worker's life and what it has; after each change and when linked. */
+/** Sidecar to leader: state of the worker; sent after each change and when a link is opened. */
 struct WorkerNotice {
-    /** Empty while none is known. */
+    /** Empty while no incarnation is known. */
     std::string m_incarnation;
-    /** The life is over: nothing of it runs any more. */
+    /** Whether the incarnation has exited, so that none of its runs exist any more. */
     bool m_hasExited = false;
     std::string m_service;
     std::string m_failureDomain;
@@ -139,16 +144,16 @@
     std::uint32_t m_cpuMillis = 0;
     std::uint32_t m_memoryMb = 0;
     std::uint32_t m_accelerators = 0;
-    /** The most that it had in this life; its room may have shrunk since, and may grow again. */
+    /** Largest capacity of this incarnation; the current capacity may shrink and grow again. */
     std::uint32_t m_fullCpuMillis = 0;
     std::uint32_t m_fullMemoryMb = 0;
     std::uint32_t m_fullAccelerators = 0;
     bool m_isDraining = false;
-    /** Least time that a draining worker stays. */
+    /** Minimum time that a draining worker remains available. */
     std::uint64_t m_remainingMs = 0;
-    /** How much longer it is slow. */
+    /** Time until the worker is warmed up. */
     std::uint64_t m_coldLeftMs = 0;
-    /** The last crashes that this sidecar saw, with each notice anew: a leader may be new. */
+    /** Recent crashes; repeated in each notice, since the leader may be new. */
     std::vector<WorkerCrash> m_crashes;
     bool operator==(const WorkerNotice&) const = default;
 };
@@ -162,18 +167,18 @@
     bool operator==(const RunningEntry&) const = default;
 };
 
-/** One ended run that the worker lists until it is told that the end is kept. */
+/** One finished run, which the worker lists until the end of the run is persisted. */
 struct EndedEntry {
     std::uint64_t m_number = 0;
     std::string m_task;
     std::uint32_t m_run = 0;
-    /** A RunEnd. */
+    /** Value of RunEnd. */
     std::uint32_t m_end = 0;
     std::string m_checkpoint;
     bool operator==(const EndedEntry&) const = default;
 };
 
-/** Sidecar to leader: what the worker says of itself. */
+/** Sidecar to leader: the runs of the worker. */
 struct RunReport {
     std::string m_incarnation;
     std::vector<RunningEntry> m_running;
@@ -182,8 +187,8 @@
 };
 
 /**
- * Leader to sidecar: start a run that is committed. For a run that is there already it only tells
- * what kind of run it is, which a restarted sidecar does not know.
+ * Leader to sidecar: starts a run that is committed in the store. For a run that already exists on
+ * the worker, the order only restores the properties of the run at a restarted sidecar.
  */
 struct RunOrder {
     std::uint64_t m_epoch = 0;
@@ -192,16 +197,16 @@
     std::uint32_t m_run = 0;
     std::string m_payload;
     std::string m_checkpoint;
-    /** What the worker asks for on queues with advice; empty on others. */
+    /** Placement ticket that the worker requires on queues with placement advice; else empty. */
     std::string m_ticket;
-    /** A task that serves users: the tail of their answer times stays below this; zero: none. */
+    /** Target for the tail latency of a task that serves users; zero: none. */
     std::uint64_t m_latencyTargetMs = 0;
-    /** It takes only the processor time that others leave, and is paced. */
+    /** Whether the task only uses processor time that other tasks leave idle, and is throttled. */
     bool m_isFilling = false;
     bool operator==(const RunOrder&) const = default;
 };
 
-/** Leader to sidecar: stop a run, or bar it if it has not begun. */
+/** Leader to sidecar: stops a run, or prevents its start if it has not started yet. */
 struct RunStop {
     std::uint64_t m_epoch = 0;
     std::string m_incarnation;
@@ -210,7 +215,7 @@
     bool operator==(const RunStop&) const = default;
 };
 
-/** Sidecar to leader: the run is not there, is not listed as ended, and can never begin. */
+/** Sidecar to leader: the run does not exist, is not listed as finished, and can never start. */
 struct RunAbsent {
     std::string m_incarnation;
     std::string m_task;
@@ -219,21 +224,21 @@
     bool operator==(const RunAbsent&) const = default;
 };
 
-/** Leader to sidecar: ends up to this number are kept; the worker may forget them. */
+/** Leader to sidecar: ends up to this number are persisted; the worker may drop them. */
 struct EndsPersisted {
     std::string m_incarnation;
     std::uint64_t m_number = 0;
     bool operator==(const EndsPersisted&) const = default;
 };
 
-/** Gateway to leader: this key under input/ is written, the store said so. */
+/** Gateway to leader: the store has confirmed the write of this key under input/. */
 struct InputNotice {
     std::string m_key;
     std::string m_value;
     bool operator==(const InputNotice&) const = default;
 };
 
-/** Any message between processes of the system. The order is the wire's type number. */
+/** Any message between processes of the system. The position is the type number on the wire. */
 using Frame = std::variant<LeaderHello, LeaseRequest, LeaseRenewal, WorkerNotice, RunReport,
                            RunOrder, RunStop, RunAbsent, EndsPersisted, InputNotice, RelayedRequest,
                            RelayedAnswer, GatewayQuery, GatewayReply>;
--- a/libs/wire/include/pierbank/wire/FrameCodec.h
+++ b/libs/wire/include/pierbank/wire/FrameCodec.h
@@ -11,12 +11,12 @@
 
 namespace pierbank {
 
-/** The CBOR form of a frame: an array of the type number and the frame's fields in order. */
+/** Encodes a frame as CBOR: an array of the type number and of the frame's fields in order. */
 std::string encodeFrame(const Frame& frame);
 
 /**
- * Reads a frame from a peer that may be broken or hostile.
- * @return empty, with `reason`, for anything that encodeFrame() does not write.
+ * Decodes a frame from a peer that may be faulty or malicious.
+ * @return empty, with `reason`, for anything that encodeFrame() does not produce.
  */
 std::optional<Frame> decodeFrame(std::string_view bytes, Reason& reason);
 
--- a/libs/wire/include/pierbank/wire/SocketTransport.h
+++ b/libs/wire/include/pierbank/wire/SocketTransport.h
@@ -10,7 +10,7 @@
 
 /**
  * Transport over TCP: GLib sockets on the main context carry WebSocket messages, and each message
- * is one CBOR frame. A frame that cannot be read closes its link.
+ * is one frame in CBOR. A link is closed when a frame can't be decoded.
  */
 class SocketTransport final : public Transport {
 public:
@@ -20,7 +20,7 @@
     bool listen(const Address& address, LinkCallback onLink, Reason& reason) override;
     void connect(const Address& address, LinkCallback done) override;
 
-    /** Stops accepting links; those open stay open. */
+    /** Stops accepting links; open links remain open. */
     void stopListening();
 
 private:
--- a/libs/wire/include/pierbank/wire/Transport.h
+++ b/libs/wire/include/pierbank/wire/Transport.h
@@ -13,8 +13,9 @@
 namespace pierbank {
 
 /**
- * One open connection between two processes of the system, which carries whole frames in order.
- * Dropping the last owner closes it without a call of the close callback.
+ * Open connection between two processes of the system, which delivers whole frames in order. The
+ * connection is closed when the last owner releases the link; the close callback is then not
+ * called.
  */
 class Link {
 public:
@@ -23,30 +24,30 @@
 
     virtual ~Link() = default;
 
-    /** Sets who is told of frames and of the end. The end is told once, on a later loop turn. */
+    /** Sets the callbacks. `onClose` is called at most once, on a later turn of the event loop. */
     virtual void setCallbacks(FrameCallback onFrame, CloseCallback onClose) = 0;
 
     /**
      * Queues a frame.
-     * @return false when the link is closed or the peer has too much unread: nothing was sent.
+     * @return false when the link is closed or too much data is unsent; the frame is dropped.
      */
     virtual bool send(const Frame& frame) = 0;
 
-    /** Closes at once; frames not yet sent are lost. The close callback is not called. */
+    /** Closes at once and drops unsent frames. The close callback is not called. */
     virtual void close() = 0;
 };
 
-/** How processes of the system reach each other. SocketTransport in programs, a fake in tests. */
+/** Opens and accepts links between processes. Implemented by SocketTransport and a test fake. */
 class Transport {
 public:
     using LinkCallback = std::function<void(std::shared_ptr<Link>)>;
 
     virtual ~Transport() = default;
 
-    /** Accepts links at an address. @return false with `reason` when the address is not free. */
+    /** Accepts links at an address. @return false with `reason` when listening fails. */
     virtual bool listen(const Address& address, LinkCallback onLink, Reason& reason) = 0;
 
-    /** Opens a link; `done` gets an empty pointer when the peer cannot be reached in time. */
+    /** Opens a link; `done` is called with null when the peer can't be reached in time. */
     virtual void connect(const Address& address, LinkCallback done) = 0;
 };
 
--- a/libs/wire/include/pierbank/wire/WebSocketCodec.h
+++ b/libs/wire/include/pierbank/wire/WebSocketCodec.h
@@ -11,17 +11,17 @@
 namespace pierbank {
 
 /**
- * The WebSocket protocol (RFC 6455) of one connection, without any input or output: bytes from
- * the peer go into feed(), bytes for the peer come out of a callback. websocketpp does the work.
+ * Implements the WebSocket protocol (RFC 6455) for one connection without any input or output:
+ * bytes from the peer are passed to feed(), bytes for the peer to a callback. Uses websocketpp.
  *
- * The source file is compiled as C++17, because websocketpp 0.8.2 does not compile as C++20; this
- * header is read by both.
+ * The source file is compiled as C++17, because websocketpp 0.8.2 does not compile as C++20. This
+ * header has to compile as both.
  */
 class WebSocketCodec {
 public:
     enum class Role { CLIENT, SERVER };
 
-    /** Called from feed(), start(), send() and close(); never after the codec is gone. */
+    /** Called from feed(), start(), send() and close(); never after the codec was destroyed. */
     struct Callbacks {
         std::function<void(std::string_view bytes)> m_write;
         std::function<void()> m_open;
@@ -29,19 +29,19 @@
         std::function<void()> m_closed;
     };
 
-    /** The largest message that is sent or taken, in bytes; a larger one closes the connection. */
+    /** Maximum size of a message in bytes; receiving a larger message closes the connection. */
     static constexpr std::size_t MAX_MESSAGE_BYTES = 8U << 20U;
 
-    /** @param peer `IP:PORT` of the server; only a client's opening request uses it. */
+    /** @param peer `IP:PORT` of the server; used only for a client's opening request. */
     WebSocketCodec(Role role, const std::string& peer, Callbacks callbacks);
     ~WebSocketCodec();
     WebSocketCodec(const WebSocketCodec&) = delete;
     WebSocketCodec& operator=(const WebSocketCodec&) = delete;
 
-    /** Begins the opening handshake. */
+    /** Starts the opening handshake. */
     void start();
 
-    /** Takes bytes that the peer sent. */
+    /** Processes bytes received from the peer. */
     void feed(std::string_view bytes);
 
     /** Sends one binary message. @return false when the connection is not open. */
--- a/libs/wire/src/FrameCodec.cpp
+++ b/libs/wire/src/FrameCodec.cpp
@@ -7,7 +7,8 @@
 
 namespace pierbank {
 
-// Found by argument-dependent lookup, so outside the unnamed namespace.
+// The archives find these functions by argument-dependent lookup, which requires that they are not
+// in the unnamed namespace.
 
 template <typename Archive>
 void describe(Archive& archive, LeaseRequest& frame) {
@@ -50,7 +51,7 @@
     archive(frame.m_epoch, frame.m_node, frame.m_link);
 }
 
-/** Leaders before did not count their links. */
+/** Accepts the older form of the frame, in which leaders did not number their links. */
 void describe(ArchiveReader& archive, LeaderHello& frame) {
     constexpr std::size_t FIELDS_WITHOUT_LINK = 2;
     if (archive.getSize() == FIELDS_WITHOUT_LINK) {
@@ -122,44 +123,45 @@
 namespace {
 
 template <std::size_t... Types>
-bool readAs(std::size_t type, const nlohmann::json& fields, Frame& frame,
-            std::index_sequence<Types...>) {
-    bool isRead = false;
+bool decodeAs(std::size_t type, const nlohmann::json& fields, Frame& frame,
+              std::index_sequence<Types...>) {
+    bool isDecoded = false;
     const auto tryType = [&](auto index) {
         if (type == index) {
-            isRead = ArchiveReader::read(fields, frame.emplace<index>());
+            isDecoded = ArchiveReader::read(fields, frame.emplace<index>());
         }
     };
     (tryType(std::integral_constant<std::size_t, Types>()), ...);
-    return isRead;
+    return isDecoded;
 }
 
 }  // namespace
 
 std::string encodeFrame(const Frame& frame) {
-    nlohmann::json whole = nlohmann::json::array();
-    whole.push_back(frame.index());
-    whole.push_back(std::visit([](const auto& f) { return ArchiveWriter::toValue(f); }, frame));
+    nlohmann::json message = nlohmann::json::array();
+    message.push_back(frame.index());
+    message.push_back(std::visit([](const auto& f) { return ArchiveWriter::toValue(f); }, frame));
     std::string bytes;
-    nlohmann::json::to_cbor(whole, bytes);
+    nlohmann::json::to_cbor(message, bytes);
     return bytes;
 }
 
 std::optional<Frame> decodeFrame(std::string_view bytes, Reason& reason) {
-    const nlohmann::json whole = parseCbor(bytes);
-    if (whole.is_discarded()) {
+    const nlohmann::json message = parseCbor(bytes);
+    if (message.is_discarded()) {
         reason = "not CBOR";
         return std::nullopt;
     }
-    constexpr std::size_t PARTS = 2;
-    if (!whole.is_array() || whole.size() != PARTS || !whole[0].is_number_unsigned()) {
+    constexpr std::size_t MESSAGE_ELEMENTS = 2;
+    if (!message.is_array() || message.size() != MESSAGE_ELEMENTS ||
+        !message[0].is_number_unsigned()) {
         reason = "not an array of type and fields";
         return std::nullopt;
     }
-    const auto type = whole[0].get<std::size_t>();
+    const auto type = message[0].get<std::size_t>();
     Frame frame;
     constexpr auto TYPES = std::make_index_sequence<std::variant_size_v<Frame>>();
-    if (!readAs(type, whole[1], frame, TYPES)) {
+    if (!decodeAs(type, message[1], frame, TYPES)) {
         reason = "unknown frame type or wrong fields, type " + std::to_string(type);
         return std::nullopt;
     }
--- a/libs/wire/src/SocketLink.cpp
+++ b/libs/wire/src/SocketLink.cpp
@@ -43,7 +43,7 @@
     m_onReady = std::move(onReady);
     m_selfWhileOpening = shared_from_this();
     m_handshakeTimer = g_timeout_add(HANDSHAKE_TIMEOUT_MS, &onHandshakeTimeout, this);
-    m_polled = m_poller->add(g_socket_get_fd(m_socket), *this);
+    m_pollerId = m_poller->add(g_socket_get_fd(m_socket), *this);
     m_codec->start();
 }
 
@@ -60,7 +60,7 @@
 }
 
 bool SocketLink::send(const Frame& frame) {
-    if (m_isClosed || m_waiting.size() - m_sent > MAX_WAITING_BYTES) {
+    if (m_isClosed || m_sendBuffer.size() - m_sentBytes > MAX_UNSENT_BYTES) {
         return false;
     }
     const std::string bytes = encodeFrame(frame);
@@ -75,7 +75,7 @@
         return;
     }
     m_isClosed = true;
-    m_poller->remove(m_polled);
+    m_poller->remove(m_pollerId);
     if (m_handshakeTimer != 0) {
         g_source_remove(m_handshakeTimer);
         m_handshakeTimer = 0;
@@ -83,14 +83,14 @@
     g_io_stream_close(G_IO_STREAM(m_connection), nullptr, nullptr);
 }
 
-void SocketLink::waitForRoom(bool waits) {
-    if (!m_isClosed && std::exchange(m_waitsForRoom, waits) != waits) {
-        m_poller->setWaitsForRoom(m_polled, waits);
+void SocketLink::updateWriteInterest(bool isInterested) {
+    if (!m_isClosed && std::exchange(m_hasWriteInterest, isInterested) != isInterested) {
+        m_poller->setWriteInterest(m_pollerId, isInterested);
     }
 }
 
 void SocketLink::handleReady(bool canRead, bool canWrite) {
-    // A callback may drop the last other owner.
+    // A callback may release the last other owner.
     const auto link = shared_from_this();
     if (canWrite) {
         flush();
@@ -101,7 +101,7 @@
 }
 
 void SocketLink::readAvailable() {
-    std::array<char, READ_BYTES> buffer;
+    std::array<char, READ_BUFFER_BYTES> buffer;
     GError* error = nullptr;
     const gssize count = g_socket_receive(m_socket, buffer.data(), buffer.size(), nullptr, &error);
     if (count > 0) {
@@ -120,29 +120,29 @@
     if (m_isClosed) {
         return;
     }
-    const bool wasIdle = m_waiting.empty();
-    m_waiting.append(bytes);
+    const bool wasIdle = m_sendBuffer.empty();
+    m_sendBuffer.append(bytes);
     if (wasIdle) {
         flush();
     }
 }
 
 void SocketLink::flush() {
-    while (m_sent < m_waiting.size()) {
+    while (m_sentBytes < m_sendBuffer.size()) {
         GError* error = nullptr;
-        const gssize count = g_socket_send(m_socket, m_waiting.data() + m_sent,
-                                           m_waiting.size() - m_sent, nullptr, &error);
+        const gssize count = g_socket_send(m_socket, m_sendBuffer.data() + m_sentBytes,
+                                           m_sendBuffer.size() - m_sentBytes, nullptr, &error);
         if (count < 0) {
-            // A broken socket also becomes readable; the reader reports the end.
+            // A failed socket also becomes readable; readAvailable() then closes the link.
             g_clear_error(&error);
-            waitForRoom(true);
+            updateWriteInterest(true);
             return;
         }
-        m_sent += static_cast<std::size_t>(count);
+        m_sentBytes += static_cast<std::size_t>(count);
     }
-    m_waiting.clear();
-    m_sent = 0;
-    waitForRoom(false);
+    m_sendBuffer.clear();
+    m_sentBytes = 0;
+    updateWriteInterest(false);
 }
 
 void SocketLink::handleOpen() {
@@ -167,7 +167,7 @@
     if (m_isClosed) {
         return;
     }
-    const auto keep = shared_from_this();
+    const auto keepAlive = shared_from_this();
     close();
     finishHandshake(false);
     const CloseCallback onClose = std::exchange(m_onClose, nullptr);
@@ -182,7 +182,7 @@
         g_source_remove(m_handshakeTimer);
         m_handshakeTimer = 0;
     }
-    const auto keep = std::exchange(m_selfWhileOpening, nullptr);
+    const auto keepAlive = std::exchange(m_selfWhileOpening, nullptr);
     const ReadyCallback onReady = std::exchange(m_onReady, nullptr);
     if (onReady) {
         onReady(isOpen);
--- a/libs/wire/src/SocketLink.h
+++ b/libs/wire/src/SocketLink.h
@@ -14,12 +14,12 @@
 
 namespace pierbank {
 
-/** A Link on a GLib socket. It reads and writes without blocking, on the main context. */
+/** Link over a GLib socket. Reads and writes without blocking, on the main context. */
 class SocketLink final : public Link,
                          public std::enable_shared_from_this<SocketLink>,
                          private SocketPoller::Listener {
 public:
-    /** Called once: with true when the handshake is done, with false when it failed. */
+    /** Called once, with whether the handshake succeeded. */
     using ReadyCallback = std::function<void(bool isOpen)>;
 
     SocketLink(std::shared_ptr<SocketPoller> poller, GSocketConnection* connection,
@@ -28,7 +28,7 @@
     SocketLink(const SocketLink&) = delete;
     SocketLink& operator=(const SocketLink&) = delete;
 
-    /** Begins the handshake; the link keeps itself alive until `onReady` was called. */
+    /** Starts the handshake; the link keeps itself alive until `onReady` has been called. */
     void start(ReadyCallback onReady);
 
     void setCallbacks(FrameCallback onFrame, CloseCallback onClose) override;
@@ -42,16 +42,18 @@
     void readAvailable();
     void write(std::string_view bytes);
     void flush();
-    void waitForRoom(bool waits);
+    /** Sets whether the poller reports that the socket is writable. */
+    void updateWriteInterest(bool isInterested);
     void handleMessage(std::string_view message);
     void handleOpen();
+    /** Closes the link and calls the close callback, unless already closed. */
     void fail();
     void finishHandshake(bool isOpen);
 
-    /** Bytes that may wait for a slow peer: two of the largest messages. */
-    static constexpr std::size_t MAX_WAITING_BYTES = 2 * WebSocketCodec::MAX_MESSAGE_BYTES;
+    /** Unsent bytes above which no more frames are accepted: two of the largest messages. */
+    static constexpr std::size_t MAX_UNSENT_BYTES = 2 * WebSocketCodec::MAX_MESSAGE_BYTES;
     static constexpr guint HANDSHAKE_TIMEOUT_MS = 2000;
-    static constexpr std::size_t READ_BYTES = 64 * 1024;
+    static constexpr std::size_t READ_BUFFER_BYTES = 64 * 1024;
 
     GSocketConnection* m_connection;
     GSocket* m_socket;
@@ -59,12 +61,14 @@
     ReadyCallback m_onReady;
     FrameCallback m_onFrame;
     CloseCallback m_onClose;
+    /** Keeps the link alive during the handshake. */
     std::shared_ptr<SocketLink> m_selfWhileOpening;
-    std::string m_waiting;
-    std::size_t m_sent = 0;
+    /** Send buffer, and the number of bytes at its start that are already sent. */
+    std::string m_sendBuffer;
+    std::size_t m_sentBytes = 0;
     const std::shared_ptr<SocketPoller> m_poller;
-    SocketPoller::Id m_polled = SocketPoller::Id::NONE;
-    bool m_waitsForRoom = false;
+    SocketPoller::Id m_pollerId = SocketPoller::Id::NONE;
+    bool m_hasWriteInterest = false;
     guint m_handshakeTimer = 0;
     bool m_isClosed = false;
 };
--- a/libs/wire/src/SocketPoller.cpp
+++ b/libs/wire/src/SocketPoller.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-/** Sockets that are served before timers and other sources get their turn. */
-constexpr int EVENTS_A_TURN = 64;
+/** Maximum number of sockets that are handled before timers and other sources get their turn. */
+constexpr int MAX_EVENTS_PER_TURN = 64;
 
 }  // namespace
 
@@ -30,22 +30,22 @@
 }
 
 SocketPoller::Id SocketPoller::add(int descriptor, Listener& listener) {
-    const Id id{++m_last};
+    const Id id{++m_lastId};
     m_entries[id] = {descriptor, &listener};
-    control(EPOLL_CTL_ADD, id, EPOLLIN);
+    updateEpoll(EPOLL_CTL_ADD, id, EPOLLIN);
     return id;
 }
 
-void SocketPoller::setWaitsForRoom(Id id, bool waits) {
-    control(EPOLL_CTL_MOD, id, waits ? EPOLLIN | EPOLLOUT : EPOLLIN);
+void SocketPoller::setWriteInterest(Id id, bool isInterested) {
+    updateEpoll(EPOLL_CTL_MOD, id, isInterested ? EPOLLIN | EPOLLOUT : EPOLLIN);
 }
 
 void SocketPoller::remove(Id id) {
-    control(EPOLL_CTL_DEL, id, 0);
+    updateEpoll(EPOLL_CTL_DEL, id, 0);
     m_entries.erase(id);
 }
 
-void SocketPoller::control(int operation, Id id, std::uint32_t events) const {
+void SocketPoller::updateEpoll(int operation, Id id, std::uint32_t events) const {
     const auto found = m_entries.find(id);
     if (found == m_entries.end()) {
         return;
@@ -64,11 +64,11 @@
 }
 
 void SocketPoller::dispatch() {
-    std::array<epoll_event, EVENTS_A_TURN> events;
-    const int count = epoll_wait(m_epoll, events.data(), EVENTS_A_TURN, 0);
+    std::array<epoll_event, MAX_EVENTS_PER_TURN> events;
+    const int count = epoll_wait(m_epoll, events.data(), MAX_EVENTS_PER_TURN, 0);
     for (int i = 0; i < count; ++i) {
         const epoll_event& event = events[static_cast<std::size_t>(i)];
-        // A listener served before may have removed this one.
+        // A listener called before may have removed this one.
         const auto found = m_entries.find(Id{event.data.u64});
         if (found != m_entries.end()) {
             const bool canWrite = (event.events & EPOLLOUT) != 0;
--- a/libs/wire/src/SocketPoller.h
+++ b/libs/wire/src/SocketPoller.h
@@ -10,21 +10,21 @@
 namespace pierbank {
 
 /**
- * Waits for any number of sockets as one source of the main context. As sources of their own, each
- * turn of the loop looks at all of them: with a thousand links that is most of what a turn costs,
- * and it is paid for each message that arrives.
+ * Waits for any number of sockets as one source of the main context, by means of epoll. With one
+ * source for each socket, every turn of the loop, and so every received message, would check all
+ * sockets; with a thousand links that is most of the cost of a turn.
  */
 class SocketPoller {
 public:
-    /** Told that a socket can be read or written, or has failed (then it can be read). */
+    /** Receives the readiness of a socket. A failed socket is reported as readable. */
     class Listener {
     public:
         virtual ~Listener() = default;
-        /** May remove any listener, this one too. */
+        /** May remove any listener, including this one. */
         virtual void handleReady(bool canRead, bool canWrite) = 0;
     };
 
-    /** Names a socket that is waited for. */
+    /** Identifies a registered socket. */
     enum class Id : std::uint64_t { NONE = 0 };
 
     SocketPoller();
@@ -32,11 +32,14 @@
     SocketPoller(const SocketPoller&) = delete;
     SocketPoller& operator=(const SocketPoller&) = delete;
 
-    /** Waits until `descriptor` can be read. Poller and descriptor must outlive the wait. */
+    /**
+     * Registers a socket and waits until it is readable. The descriptor must remain open and the
+     * listener alive until remove().
+     */
     Id add(int descriptor, Listener& listener);
-    /** Whether to wait until it can be written, too. */
-    void setWaitsForRoom(Id id, bool waits);
-    /** Before the descriptor is closed. */
+    /** Sets whether to wait until the socket is writable, too. */
+    void setWriteInterest(Id id, bool isInterested);
+    /** Unregisters a socket; must be called before the descriptor is closed. */
     void remove(Id id);
 
 private:
@@ -47,11 +50,11 @@
 
     static gboolean onReady(gint, GIOCondition, gpointer self);
     void dispatch();
-    void control(int operation, Id id, std::uint32_t events) const;
+    void updateEpoll(int operation, Id id, std::uint32_t events) const;
 
     int m_epoll;
     guint m_source;
-    std::uint64_t m_last = 0;
+    std::uint64_t m_lastId = 0;
     std::map<Id, Entry> m_entries;
 };
 
--- a/libs/wire/src/SocketTransport.cpp
+++ b/libs/wire/src/SocketTransport.cpp
@@ -13,25 +13,25 @@
     return g_inet_socket_address_new_from_string(address.m_host.c_str(), address.m_port);
 }
 
-/** What an asynchronous connect carries to its end. */
-struct Connecting {
+/** State of an asynchronous connect until its completion. */
+struct PendingConnect {
     std::shared_ptr<SocketPoller> m_poller;
     std::string m_peer;
     Transport::LinkCallback m_done;
 };
 
 void finishConnect(GObject* client, GAsyncResult* result, gpointer data) {
-    const std::unique_ptr<Connecting> connecting(static_cast<Connecting*>(data));
+    const std::unique_ptr<PendingConnect> pending(static_cast<PendingConnect*>(data));
     GSocketConnection* connection =
             g_socket_client_connect_finish(G_SOCKET_CLIENT(client), result, nullptr);
     if (connection == nullptr) {
-        connecting->m_done(nullptr);
+        pending->m_done(nullptr);
         return;
     }
-    const auto link = std::make_shared<SocketLink>(
-            connecting->m_poller, connection, WebSocketCodec::Role::CLIENT, connecting->m_peer);
+    const auto link = std::make_shared<SocketLink>(pending->m_poller, connection,
+                                                   WebSocketCodec::Role::CLIENT, pending->m_peer);
     g_object_unref(connection);
-    link->start([link = link.get(), done = connecting->m_done](bool isOpen) {
+    link->start([link = link.get(), done = pending->m_done](bool isOpen) {
         done(isOpen ? link->shared_from_this() : nullptr);
     });
 }
@@ -83,9 +83,9 @@
 
     void connect(const Address& address, LinkCallback done) {
         GSocketAddress* socketAddress = makeSocketAddress(address);
-        auto* connecting = new Connecting{m_poller, address.toText(), std::move(done)};
+        auto* pending = new PendingConnect{m_poller, address.toText(), std::move(done)};
         g_socket_client_connect_async(m_client, G_SOCKET_CONNECTABLE(socketAddress), nullptr,
-                                      &finishConnect, connecting);
+                                      &finishConnect, pending);
         g_object_unref(socketAddress);
     }
 
--- a/libs/wire/src/WebSocketCodec.cpp
+++ b/libs/wire/src/WebSocketCodec.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-/** What the two roles share; the connection types of websocketpp have no common base. */
+/** Common base for the two roles; the connection types of websocketpp have none. */
 class WebSocketCodec::Detail {
 public:
     explicit Detail(Callbacks callbacks) : m_callbacks(std::move(callbacks)) {}
@@ -28,20 +28,20 @@
     virtual bool send(std::string_view message) = 0;
     virtual void close() = 0;
 
-    /** After this no callback is called, whatever websocketpp still has to say. */
+    /** Ensures that no callback is called any more, whatever websocketpp still reports. */
     void detach() { m_callbacks = Callbacks(); }
 
     template <typename Endpoint>
-    class Of;
+    class EndpointDetail;
 
 protected:
     Callbacks m_callbacks;
 };
 
 template <typename Endpoint>
-class WebSocketCodec::Detail::Of final : public WebSocketCodec::Detail {
+class WebSocketCodec::Detail::EndpointDetail final : public WebSocketCodec::Detail {
 public:
-    Of(const std::string& peer, Callbacks callbacks) : Detail(std::move(callbacks)) {
+    EndpointDetail(const std::string& peer, Callbacks callbacks) : Detail(std::move(callbacks)) {
         m_endpoint.clear_access_channels(websocketpp::log::alevel::all);
         m_endpoint.clear_error_channels(websocketpp::log::elevel::all);
         m_endpoint.set_max_message_size(MAX_MESSAGE_BYTES);
@@ -116,9 +116,9 @@
 
 WebSocketCodec::WebSocketCodec(Role role, const std::string& peer, Callbacks callbacks) {
     if (role == Role::SERVER) {
-        m_detail = std::make_shared<Detail::Of<Server>>(peer, std::move(callbacks));
+        m_detail = std::make_shared<Detail::EndpointDetail<Server>>(peer, std::move(callbacks));
     } else {
-        m_detail = std::make_shared<Detail::Of<Client>>(peer, std::move(callbacks));
+        m_detail = std::make_shared<Detail::EndpointDetail<Client>>(peer, std::move(callbacks));
     }
 }
 
@@ -126,26 +126,26 @@
     m_detail->detach();
 }
 
-// A callback may drop the codec: each call keeps the detail alive until it returns.
+// A callback may destroy the codec, so each call keeps the detail alive until the call returns.
 
 void WebSocketCodec::start() {
-    const auto keep = m_detail;
-    keep->start();
+    const auto detail = m_detail;
+    detail->start();
 }
 
 void WebSocketCodec::feed(std::string_view bytes) {
-    const auto keep = m_detail;
-    keep->feed(bytes);
+    const auto detail = m_detail;
+    detail->feed(bytes);
 }
 
 bool WebSocketCodec::send(std::string_view message) {
-    const auto keep = m_detail;
-    return keep->send(message);
+    const auto detail = m_detail;
+    return detail->send(message);
 }
 
 void WebSocketCodec::close() {
-    const auto keep = m_detail;
-    keep->close();
+    const auto detail = m_detail;
+    detail->close();
 }
 
 }  // namespace pierbank
--- a/libs/wire/test/FrameCodecTest.cpp
+++ b/libs/wire/test/FrameCodecTest.cpp
@@ -39,7 +39,7 @@
     return frames;
 }
 
-TEST(FrameCodecTest, EveryFrameSurvives) {
+TEST(FrameCodecTest, EveryFrameIsDecodedAsEncoded) {
     EXPECT_EQ(getFrames().size(), std::variant_size_v<Frame>);
     for (const Frame& frame : getFrames()) {
         Reason reason;
@@ -73,32 +73,32 @@
     }
 }
 
-struct HostileBytes {
+struct MalformedInput {
     const char* m_name;
     std::string m_bytes;
 };
 
-class HostileFrameTest : public ::testing::TestWithParam<HostileBytes> {};
+class MalformedFrameTest : public ::testing::TestWithParam<MalformedInput> {};
 
-TEST_P(HostileFrameTest, IsRefusedWithAReason) {
+TEST_P(MalformedFrameTest, IsRefusedWithAReason) {
     Reason reason;
     EXPECT_FALSE(decodeFrame(GetParam().m_bytes, reason).has_value());
     EXPECT_FALSE(reason.empty());
 }
 
 INSTANTIATE_TEST_SUITE_P(
-        Table, HostileFrameTest,
+        Inputs, MalformedFrameTest,
         ::testing::Values(
-                HostileBytes{"Empty", ""}, HostileBytes{"Text", "GET / HTTP/1.1\r\n\r\n"},
-                HostileBytes{"DeepNesting", std::string(1'000'000, '\x81')},
-                HostileBytes{"DeepMaps", std::string(1'000'000, '\xa1')},
-                HostileBytes{"HugeString", "\x82\x00\x81\x7b\xff\xff\xff\xff\xff\xff\xff"},
-                HostileBytes{"HugeArray", "\x9b\xff\xff\xff\xff\xff\xff\xff\xff"},
-                HostileBytes{"UnknownType", std::string("\x82\x18\xc8\x80", 4)},
-                HostileBytes{"WrongFields", std::string("\x82\x01\x81\x61x", 5)},
-                HostileBytes{"TooManyFields", std::string("\x82\x01\x83\x01\xf4\x01", 6)},
-                HostileBytes{"NegativeNumber", std::string("\x82\x01\x82\x20\xf4", 5)},
-                HostileBytes{"TrailingBytes", std::string("\x82\x01\x82\x01\xf4\x00", 6)}),
+                MalformedInput{"Empty", ""}, MalformedInput{"Text", "GET / HTTP/1.1\r\n\r\n"},
+                MalformedInput{"DeepNesting", std::string(1'000'000, '\x81')},
+                MalformedInput{"DeepMaps", std::string(1'000'000, '\xa1')},
+                MalformedInput{"HugeString", "\x82\x00\x81\x7b\xff\xff\xff\xff\xff\xff\xff"},
+                MalformedInput{"HugeArray", "\x9b\xff\xff\xff\xff\xff\xff\xff\xff"},
+                MalformedInput{"UnknownType", std::string("\x82\x18\xc8\x80", 4)},
+                MalformedInput{"WrongFields", std::string("\x82\x01\x81\x61x", 5)},
+                MalformedInput{"TooManyFields", std::string("\x82\x01\x83\x01\xf4\x01", 6)},
+                MalformedInput{"NegativeNumber", std::string("\x82\x01\x82\x20\xf4", 5)},
+                MalformedInput{"TrailingBytes", std::string("\x82\x01\x82\x01\xf4\x00", 6)}),
         [](const auto& info) { return info.param.m_name; });
 
 }  // namespace
--- a/libs/wire/test/SocketTransportTest.cpp
+++ b/libs/wire/test/SocketTransportTest.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-/** A listener and links to it, all in one process. */
+/** A listening transport and a connecting one in the same process. */
 class SocketTransportTest : public GlibFixture {
 public:
     SocketTransportTest() { m_address = listen(*this); }
 
-    /** For GlibFixture::listen(). */
+    /** Called by GlibFixture::listen(). */
     bool listen(const Address& address, Reason& reason) {
         return m_server.listen(
                 address,
@@ -49,71 +49,71 @@
 
 }  // namespace
 
-TEST_F(SocketTransportTest, HundredsOfLinksCarryFramesBothWays) {
+TEST_F(SocketTransportTest, HundredsOfLinksCarryFramesInBothDirections) {
     constexpr std::size_t LINKS = 200;
-    // A listener's queue holds ten that were not accepted yet.
-    constexpr std::size_t PORTION = 8;
+    // The listen backlog holds ten connections that were not accepted yet.
+    constexpr std::size_t BATCH = 8;
     while (m_opened.size() < LINKS) {
-        open(PORTION);
+        open(BATCH);
     }
-    std::size_t asked = 0;
-    std::size_t answered = 0;
+    std::size_t requests = 0;
+    std::size_t replies = 0;
     for (const auto& link : m_accepted) {
         link->setCallbacks(
-                [&asked, end = link.get()](const Frame& frame) {
-                    ++asked;
+                [&requests, end = link.get()](const Frame& frame) {
+                    ++requests;
                     end->send(LeaseRenewal{1, std::get<LeaseRequest>(frame).m_sequence, 10, 0});
                 },
                 [] {});
     }
     for (std::size_t i = 0; i < LINKS; ++i) {
         m_opened[i]->setCallbacks(
-                [&answered, i](const Frame& frame) {
+                [&replies, i](const Frame& frame) {
                     EXPECT_EQ(std::get<LeaseRenewal>(frame).m_sequence, i);
-                    ++answered;
+                    ++replies;
                 },
                 [] {});
         ASSERT_TRUE(m_opened[i]->send(LeaseRequest{i, false}));
     }
-    runUntil([&] { return answered == LINKS; });
-    EXPECT_EQ(asked, LINKS);
+    runUntil([&] { return replies == LINKS; });
+    EXPECT_EQ(requests, LINKS);
 }
 
-TEST_F(SocketTransportTest, ALinkMayEndOthersWhileSeveralHaveSomethingToRead) {
+TEST_F(SocketTransportTest, ALinkMayCloseOthersWhileSeveralAreReadable) {
     constexpr std::size_t LINKS = 8;
     open(LINKS);
-    std::size_t heard = 0;
+    std::size_t received = 0;
     for (const auto& link : m_accepted) {
         link->setCallbacks(
-                [this, &heard](const Frame&) {
-                    ++heard;
+                [this, &received](const Frame&) {
+                    ++received;
                     for (const auto& other : m_accepted) {
                         other->close();
                     }
                 },
                 [] {});
     }
-    std::size_t ended = 0;
+    std::size_t closed = 0;
     for (const auto& link : m_opened) {
-        link->setCallbacks([](const Frame&) {}, [&ended] { ++ended; });
+        link->setCallbacks([](const Frame&) {}, [&closed] { ++closed; });
         link->send(LeaseRequest{1, false});
     }
-    runUntil([&] { return ended == LINKS; });
-    EXPECT_EQ(heard, 1U);
+    runUntil([&] { return closed == LINKS; });
+    EXPECT_EQ(received, 1U);
 }
 
-/** What a socket does not take at once goes out when there is room again. */
-TEST_F(SocketTransportTest, AMessageLargerThanASocketTakesArrivesWhole) {
+/** Data that the socket does not accept at once is sent when the socket becomes writable again. */
+TEST_F(SocketTransportTest, AMessageLargerThanTheSocketBufferArrivesWhole) {
     open(1);
     constexpr std::size_t BYTES = 6U << 20U;
-    std::string got;
+    std::string value;
     m_accepted[0]->setCallbacks(
-            [&got](const Frame& frame) { got = std::get<InputNotice>(frame).m_value; }, [] {});
+            [&value](const Frame& frame) { value = std::get<InputNotice>(frame).m_value; }, [] {});
     ASSERT_TRUE(m_opened[0]->send(InputNotice{"k", std::string(BYTES, 'x')}));
-    runUntil([&] { return got.size() == BYTES; });
-    m_opened[0]->setCallbacks([&got](const Frame&) { got = "answered"; }, [] {});
+    runUntil([&] { return value.size() == BYTES; });
+    m_opened[0]->setCallbacks([&value](const Frame&) { value = "answered"; }, [] {});
     ASSERT_TRUE(m_accepted[0]->send(LeaseRenewal{1, 1, 1, 0}));
-    runUntil([&] { return got == "answered"; });
+    runUntil([&] { return value == "answered"; });
 }
 
 }  // namespace pierbank::testing
