--- a/libs/control/include/pierbank/control/CommitResolver.h
+++ b/libs/control/include/pierbank/control/CommitResolver.h
@@ -10,33 +10,35 @@
 
 namespace pierbank {
 
-/** How long a CommitResolver tries. */
+/** Limits how often a CommitResolver retries. */
 struct CommitRetryPolicy {
-    /** After this time the outcome may stay unknown; zero: try until it is known. */
+    /** Time after which the outcome may remain unknown; zero: retry until the outcome is known. */
     Millis m_limit{0};
-    /** Whether a refused transaction is tried again within the limit. */
+    /** Whether a refused transaction is retried within the limit. */
     bool m_retriesRefusals = false;
 };
 
 /**
- * Runs a transaction until its outcome is known. An answer that was lost may belong to a write that
- * took effect, or will seconds later; the same transaction is run again. Its conditions let only
- * one of them take effect: so OK means that it is this one, and on a conflict the values of the
- * written keys tell whether an earlier try was.
+ * Runs a transaction until its outcome is known. When no answer arrives, the write may have taken
+ * effect or may still do so seconds later, so the same transaction is run again. The transaction's
+ * conditions let only one of these attempts take effect. OK therefore means that the transaction
+ * was applied; on a conflict the values of the written keys tell whether an earlier attempt was.
  *
- *     CommitResolver::run(store, loop, transaction, patience, [](const StoreCommit& commit) {...});
+ *     CommitResolver::run(store, loop, transaction, policy, guard, [](const StoreCommit& c) {...});
  *
- * On OK the revision is that of the written keys. On CONFLICT nothing was or will be written.
+ * On OK the revision is that of the written keys. On CONFLICT nothing was written and nothing will
+ * be written later.
  */
 class CommitResolver {
 public:
     using Callback = std::function<void(const StoreCommit&)>;
 
-    /** Lets an owner that goes away keep the callback from being called. */
+    /** Expires with the owner; once it has expired, the callback is not called. */
     using Guard = std::weak_ptr<bool>;
 
+    /** Starts the transaction. `done` is called once; store and loop must outlive the attempts. */
     static void run(RecordStore& store, EventLoop& loop, StoreTransaction transaction,
-                    CommitRetryPolicy patience, const Guard& guard, Callback done);
+                    CommitRetryPolicy policy, const Guard& guard, Callback done);
 };
 
 }  // namespace pierbank
--- a/libs/control/include/pierbank/control/ConfigurationFeed.h
+++ b/libs/control/include/pierbank/control/ConfigurationFeed.h
@@ -13,57 +13,74 @@
 
 namespace pierbank {
 
-/** How often a gateway confirms its configuration. */
+/** Intervals and limits of a ConfigurationFeed. */
 struct ConfigurationFeedSettings {
     /** Time between two confirming reads. */
     Millis m_interval{500};
-    /** Time of one waiting watch. */
-    Millis m_watchWait{10'000};
+    /** Timeout of one watch. */
+    Millis m_watchTimeout{10'000};
     /**
-     * A store that refuses within this time costs a request little to ask again. It answers in 4 ms
-     * (users' page); one that takes longer is silent. Without asking, gateways refused for up to
-     * 0.34 s after the store was back.
+     * Maximum duration of a failed read that counts as a quick refusal. While the store refuses
+     * quickly, each request may try another read at little cost; without these reads, gateways
+     * refused requests for up to 0.34 s after the store had returned. The platform's store answers
+     * in about 4 ms, so a store that takes longer than this limit counts as unresponsive.
+     */
+    Millis m_maxQuickRefusal{100};
+    /**
+     * Delay before an unresponsive store is read again. The read that is then under way detects the
+     * return of the store.
+     */
+    Millis m_probeDelay{50};
+    /**
+     * Maximum age of the configuration as confirmed by the leader. A gateway with a usable leader
+     * reads the store itself only beyond this age.
      */
-    Millis m_quickRefusal{100};
-    /** Pause before a silent store is asked again; a read that waits finds out when it is back. */
-    Millis m_probePause{50};
-    /** Led gateways read for themselves only when what the leader tells is older than this. */
     Millis m_maxNoticeAge{2500};
-    /** Of this gateway's host, in megabits a second. */
+    /** Bandwidth of this gateway's host, in megabits per second. */
     double m_linkMbps = 1000.0;
-    /** A value that the link carries no faster is heavy: it is fetched once, and not by accident.
+    /**
+     * Transfer time above which a configuration value counts as slow to transfer; such a value is
+     * read only once, and is not watched.
      */
     Millis m_slowTransfer{200};
 };
 
-/** What another gateway says of the configuration. */
+/** Report of another gateway about the current configuration. */
 struct ConfigurationNotice {
     StoreRevision m_revision = 0;
-    /** When the read was sent that confirmed it, or before; on the own clock. */
+    /**
+     * Lower bound, on this gateway's clock, of the time at which the confirming read was sent; zero
+     * if unknown.
+     */
     Millis m_confirmedAt{0};
 };
 
-/** A gateway that confirms configurations all the time, and can be asked. */
+/** A gateway that confirms the configuration continually and answers queries about it. */
 class ConfigurationSource {
 public:
     virtual ~ConfigurationSource() = default;
-    /** It answers; then this gateway need not ask the store itself. */
+    /** Returns whether the source is reachable; then this gateway need not read the store. */
     virtual bool isUsable() const = 0;
-    /** `done` is called once; with nothing when no answer came in time. */
+    /**
+     * Requests a notice. `done` is called once, with an empty value if no answer came in time.
+     */
     virtual void ask(std::function<void(const std::optional<ConfigurationNotice>&)> done) = 0;
 };
 
 /**
- * A gateway's view of the operators' configuration. A watch brings changes quickly, but its
- * silence proves nothing: how old the view is counts from the sending of the last read that
- * confirmed it. The version never goes back.
+ * A gateway's copy of the operators' configuration. Runs on the event loop.
+ *
+ * A watch delivers changes quickly, but a watch without events does not prove that nothing changed.
+ * The age of the copy therefore counts from the time at which the last confirming read was sent.
+ * The version never goes back.
  *
- * A value that is large for the gateway's link is not watched but confirmed at intervals, since a
- * watch would bring it beside a read.
+ * A value that is slow to transfer over the gateway's link is not watched but confirmed at
+ * intervals, since a watch would transfer the value in addition to the read.
  *
- * With a source that is usable it neither reads nor watches: hundreds of gateways that each read
- * the same value twice a second are most of what the store sends. The source's notice that the
- * revision at hand is the newest confirms it; for a newer one the value is read once.
+ * With a usable source the feed neither reads nor watches: the store would otherwise spend most of
+ * its bandwidth on sending the same value twice a second to hundreds of gateways. A notice that the
+ * local revision is the newest confirms the copy. After a notice of a newer revision the value is
+ * read once.
  */
 class ConfigurationFeed {
 public:
@@ -76,63 +93,74 @@
     ConfigurationFeed(const ConfigurationFeed&) = delete;
     ConfigurationFeed& operator=(const ConfigurationFeed&) = delete;
 
-    /** Asked from then on; it must outlive the feed. */
+    /** Sets the source to query from now on; the source must outlive the feed. */
     void setSource(ConfigurationSource& source) { m_source = &source; }
 
+    /** Starts the confirming reads and the watch. */
     void start();
-    /** Called after each change. */
+    /** Sets the callback for each change of the configuration. */
     void onChange(Callback callback) { m_onChange = std::move(callback); }
 
-    /** Null before the first configuration was read. */
+    /** Returns the configuration, or null before the first one was read. */
     const QueueConfiguration* get() const noexcept {
         return m_configuration.has_value() ? &*m_configuration : nullptr;
     }
-    /** The store's revision of it. */
+    /** Returns the store's revision of the configuration. */
     StoreRevision getRevision() const noexcept { return m_revision; }
 
-    /** Called when the store is lost to this gateway (false) or back (true). */
+    /** Sets the callback for the store becoming unreachable (false) or reachable again (true). */
     void onReachabilityChange(std::function<void(bool)> callback) {
         m_onReachabilityChange = std::move(callback);
     }
 
-    /** The last confirming read failed. */
+    /** Returns whether the last confirming read failed. */
     bool isLost() const noexcept { return m_isLost; }
-    /** It failed without a quick answer: one more read would keep a request waiting for nothing. */
-    bool isSilent() const noexcept { return m_isLost && m_isSilent; }
+    /**
+     * Returns whether the last confirming read failed other than by a quick refusal. A request that
+     * waited for one more read would wait in vain.
+     */
+    bool isStoreUnresponsive() const noexcept { return m_isLost && m_isUnresponsive; }
 
-    /** A source is there that answers. */
+    /** Returns whether a source is set and reachable. */
     bool hasUsableSource() const { return m_source != nullptr && m_source->isUsable(); }
 
-    /** Time since the last confirming read was sent; empty before the first. */
+    /** Returns the time since the last confirming read was sent; empty before the first. */
     std::optional<Millis> getAge() const;
 
     /**
-     * A newer one is known to be there, and not read yet. What the leader answers in this gateway's
-     * place is answered by that one; by the view at hand nothing may be answered beside it.
+     * Returns whether a newer configuration is known to exist but has not been read yet. The leader
+     * already decides relayed requests by the newer one, so this gateway must not decide others by
+     * its older copy at the same time.
      */
-    bool isOutdated() const noexcept { return m_newest > m_revision; }
+    bool isOutdated() const noexcept { return m_newestRevision > m_revision; }
 
     /**
-     * Calls `done` once with whether the view was confirmed by a read sent after this call. Calls
-     * during a read that is under way share the next one.
+     * Calls `done` once, with whether a read sent after this call confirmed the copy. Calls made
+     * while a read is under way share the next read.
      */
     void confirm(std::function<void(bool)> done);
 
-    /** The same with what the source says, or else a read; the view may then be a little old. */
+    /**
+     * Updates the copy's age from the source, or by a read if the source can't answer, and calls
+     * `done` once. Unlike after confirm(), the copy may be a little older than the call.
+     */
     void refresh(std::function<void()> done);
 
-    /** Takes what the source said, asked or not. */
+    /** Applies a notice of the source, whether requested or not. */
     void applyNotice(const ConfigurationNotice& notice);
 
     /**
-     * The value keeps this gateway's link busy for so long that no more than one may be under way:
-     * what is decided by the view at hand has it confirmed first, since a transaction that meets a
-     * newer configuration is answered with its value, each of them.
+     * Returns whether a transfer of the value occupies this gateway's link for so long that no two
+     * transfers should run at the same time. Submissions then confirm the copy before they write:
+     * each transaction that conflicts with a newer configuration would transfer the new value.
      */
     bool isSlowToTransfer() const;
 
-    /** Takes an item that came along with another answer, and was read at `sentAt` or later. */
-    void learn(const StoreItem& item, Millis sentAt);
+    /**
+     * Applies an item that was part of another call's answer.
+     * @param sentAt a time at or before the read of the item.
+     */
+    void applyItem(const StoreItem& item, Millis sentAt);
 
 private:
     void poll();
@@ -140,8 +168,8 @@
     void watch();
     void read();
     void handleRead(const StoreRead& read, Millis sentAt);
-    void probeLater();
-    void takeChanges(const StoreChanges& changes);
+    void scheduleProbe();
+    void applyChanges(const StoreChanges& changes);
 
     RecordStore& m_store;
     EventLoop& m_loop;
@@ -153,19 +181,24 @@
     std::optional<QueueConfiguration> m_configuration;
     StoreRevision m_revision = 0;
     std::size_t m_valueBytes = 0;
-    /** The newest that was heard of. */
-    StoreRevision m_newest = 0;
-    StoreRevision m_watchedTo = 0;
-    /** The store's revision at the last good read. */
-    StoreRevision m_readAt = 0;
+    /** Newest revision of the configuration that a notice has reported. */
+    StoreRevision m_newestRevision = 0;
+    /** Store revision from which the next watch continues. */
+    StoreRevision m_watchedRevision = 0;
+    /** Store revision of the last successful read. */
+    StoreRevision m_lastReadRevision = 0;
+    /** Time at which the last confirming read was sent. */
     std::optional<Millis> m_confirmedAt;
     ConfigurationSource* m_source = nullptr;
     bool m_isWatching = false;
     bool m_isReading = false;
     bool m_isLost = false;
-    bool m_isSilent = false;
-    std::vector<std::function<void(bool)>> m_waiting;
-    std::vector<std::function<void(bool)>> m_reading;
+    bool m_isUnresponsive = false;
+    /** Callbacks of confirm() that wait for the next read. */
+    std::vector<std::function<void(bool)>> m_queuedCallbacks;
+    /** Callbacks of confirm() that wait for the read under way. */
+    std::vector<std::function<void(bool)>> m_activeCallbacks;
+    /** Expires with this object; asynchronous callbacks check it. */
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
 };
 
--- a/libs/control/include/pierbank/control/Documents.h
+++ b/libs/control/include/pierbank/control/Documents.h
@@ -13,7 +13,7 @@
 
 namespace pierbank {
 
-/** What a worker says of itself to the sidecar on its host. */
+/** Periodic message of a worker about itself to the sidecar on its host. */
 struct WorkerHeartbeat {
     WorkerIncarnation m_incarnation;
     std::string m_service;
@@ -22,39 +22,51 @@
     std::vector<std::string> m_labels;
     Resources m_capacity;
     bool m_isDraining = false;
-    /** While it drains, the least time that it stays. */
+    /** Minimum time that a draining worker remains available. */
     Millis m_remaining{0};
-    /** How much longer it is slow from its start, or from a time without work. */
+    /** Time until the worker is warmed up, after its start or after a period without work. */
     Millis m_coldLeft{0};
-    /** Rises with each beat of a life; a lower one came late. */
+    /** Grows with each heartbeat of an incarnation; a heartbeat with a lower number is late. */
     std::uint64_t m_sequence = 0;
 };
 
-/** Upkeep that the operators ask for. */
+/** One wave of machine maintenance that the operators request. */
 struct WaveSpec {
     std::uint64_t m_number = 0;
     std::vector<std::string> m_machines;
-    /** Within this time of being asked. */
+    /** Time within which the wave has to be finished, from the request on. */
     Millis m_duration{0};
-    /** Machines down for it at once, at most. */
+    /** Maximum number of machines that are down for the wave at the same time. */
     std::size_t m_cap = 1;
 };
 
-/** Bodies of the platform and of callers. What is wrong in one is added to the findings. */
+/**
+ * Decodes and encodes the message bodies that the platform and callers exchange with the system.
+ * Errors in a body are added to `findings`; a reader returns an empty value if the body is
+ * unusable.
+ */
 class DocumentCodec {
 public:
     virtual ~DocumentCodec() = default;
+    /** Reads the operators' configuration. */
     virtual std::optional<QueueConfiguration> readConfiguration(std::string_view bytes,
                                                                 Findings& findings) const = 0;
+    /** Reads a submitted job. */
     virtual std::optional<JobSpec> readJob(std::string_view bytes, Findings& findings) const = 0;
-    /** @param id names the worker; its beat tells when it started. */
+    /** Reads a heartbeat. @param id names the worker; the body contains its start time. */
     virtual std::optional<WorkerHeartbeat> readBeat(std::string_view id, std::string_view bytes,
                                                     Findings& findings) const = 0;
-    /** What a worker says as it ends. A body that can't be read tells no moment of start. */
+    /**
+     * Reads the message that a worker sends as it exits. An unreadable body yields an incarnation
+     * without a start time.
+     */
     virtual WorkerIncarnation readLeave(std::string_view id, std::string_view bytes) const = 0;
     virtual std::optional<WaveSpec> readWave(std::string_view bytes, Findings& findings) const = 0;
+    /** Writes the status of a wave, for the platform. */
     virtual std::string writeWaveStatus(bool isDone) const = 0;
+    /** Writes the phase of a job, for a caller. */
     virtual std::string writePhase(JobPhase phase) const = 0;
+    /** Writes the number of pending jobs of a queue, for a caller. */
     virtual std::string writePending(std::size_t count) const = 0;
 };
 
--- a/libs/control/include/pierbank/control/EvacuationFeed.h
+++ b/libs/control/include/pierbank/control/EvacuationFeed.h
@@ -15,26 +15,28 @@
 namespace pierbank {
 
 struct EvacuationFeedSettings {
-    /** So long after an evacuation was acknowledged nothing begins in its failure domain any more
-     * (users' bound). */
+    /**
+     * Time after the acknowledgement of an evacuation from which on nothing starts in the failure
+     * domain. Required by the platform's contract.
+     */
     Millis m_bound{5000};
-    /** Time between two readings. They are about 125 calls of the store on a day of 64 machines
-     * (62 s), which make 4,200 to 7,200 in all. */
+    /** Time between two polls. The polls make up 2 to 3 percent of all calls of the store. */
     Millis m_interval{500};
 };
 
 /**
- * The failure domains under evacuation, as the platform's operators have them in the store: a key
- * each, there from the request until it is withdrawn. Whatever the key's value, it counts.
+ * Polls the failure domains under evacuation, which the platform's operators keep in the store: one
+ * key for each domain, from the request of the evacuation until it is withdrawn. A key counts
+ * whatever its value is. Runs on the event loop.
  *
- * The whole list is read again and again. Weighed against a watch: a watch may hear nothing for a
- * second, hang, or lose its history, and its silence would look like an empty list; a reading
- * either answers or fails, and is linearizable, so that its sending time bounds what it can have
- * missed. The bound leaves ten times the interval.
+ * The feed polls the whole list instead of watching it. A watch may deliver nothing for a second,
+ * hang, or lose its history, and a watch without events looks like an empty list. A poll either
+ * succeeds or fails, and is linearizable, so that the time at which the poll was sent bounds the
+ * age of the result. The required time limit is ten times the polling interval.
  */
 class EvacuationFeed {
 public:
-    /** Evacuations by failure domain, with the revision at which each was asked for. */
+    /** Evacuations by failure domain, with the store revision of each request. */
     using Domains = std::map<std::string, StoreRevision, std::less<>>;
 
     /** The references must outlive the feed. */
@@ -43,19 +45,21 @@
     EvacuationFeed(const EvacuationFeed&) = delete;
     EvacuationFeed& operator=(const EvacuationFeed&) = delete;
 
-    /** Called when the list has changed, and when it becomes certain again. */
+    /** Sets the callback for a changed list, and for isCertain() becoming true again. */
     void onChange(std::function<void()> callback) { m_onChange = std::move(callback); }
 
-    /** Begins to read; nothing is known before the first answer. */
+    /** Starts polling; the list is empty and not certain until the first poll succeeds. */
     void start();
+    /** Stops polling and clears the list. */
     void stop();
 
     /**
-     * What is known is recent enough to place work by. Three fifths of the bound are for knowing;
-     * the rest is for a decision on its way: its commit, and its order to the worker.
+     * Returns whether the list is recent enough to place work by. The list may be as old as three
+     * fifths of m_bound. The rest is left for a decision under way: its commit, and the order to
+     * the worker.
      */
     bool isCertain() const;
-    /** As the last reading that was answered has it. */
+    /** Returns the result of the last successful poll. */
     const Domains& getDomains() const noexcept { return m_domains; }
 
 private:
@@ -69,9 +73,9 @@
     const EvacuationFeedSettings m_settings;
     std::function<void()> m_onChange;
     Domains m_domains;
-    /** When the last reading that was answered had been sent; empty: none was. */
+    /** Time at which the last successful poll was sent; empty before the first. */
     std::optional<Millis> m_confirmedAt;
-    /** Replaced with each start() and stop(), so that answers of before are ignored. */
+    /** Replaced by start() and reset by stop(), so that answers of earlier polls are dropped. */
     std::shared_ptr<bool> m_term;
 };
 
--- a/libs/control/include/pierbank/control/JobIntake.h
+++ b/libs/control/include/pierbank/control/JobIntake.h
@@ -19,83 +19,98 @@
 
 namespace pierbank {
 
-/** A caller's request. */
+/** HTTP request of a caller. */
 struct IntakeRequest {
     std::string m_method;
     /** Host name without a port. */
     std::string m_host;
     std::string m_path;
-    /** The caller's key; empty for none. */
+    /** The caller's API key; empty if the request has none. */
     std::string m_key;
     std::string m_body;
-    /** How long the caller waits for the answer. */
+    /** The caller's timeout for the answer. */
     Millis m_patience{3000};
-    /** Another gateway passed it on: it is not passed on again. */
+    /** Whether another gateway relayed this request; then it is not relayed again. */
     bool m_isRelayed = false;
 };
 
-/** Its answer. */
+/** Answer to an IntakeRequest. */
 struct IntakeAnswer {
     std::uint32_t m_status = 503;
     std::string m_body;
-    /** With a refusal that a later try may not meet: when to come back; zero for none. */
+    /**
+     * Delay after which the caller should retry, if the refusal may be temporary; otherwise zero.
+     */
     Millis m_retryAfter{0};
-    /** For the log: what decided. */
+    /** Reason for the answer, for the log. */
     std::string m_reason;
 };
 
 struct IntakeSettings {
-    /** A configuration confirmed longer ago is confirmed again before it decides anything. */
+    /**
+     * Maximum age of the configuration that requests are decided by. An older configuration is
+     * confirmed first.
+     */
     Millis m_maxConfigurationAge{1200};
-    /** How old the count of pending jobs may be. */
-    Millis m_pendingAge{1000};
-    /** An outcome that the store does not tell for so long is left to another gateway, or unknown.
+    /** Maximum age of the cached numbers of pending jobs. */
+    Millis m_maxPendingAge{1000};
+    /**
+     * Timeout for the outcome of a submission. After it the request is relayed to the leader or
+     * answered as unknown.
      */
     Millis m_commitTimeout{1500};
     RetryAfterPolicySettings m_retryAfterPolicy;
     /**
-     * A submission whose write has no answer after this time is also handed to the leader: a
-     * gateway that has just been cut off from the store does not know it, and held such a job for
-     * 1.5 s and more. Above the answers of a store that is slow (0.24 to 0.33 s).
+     * Time without an answer from the store after which a submission is also relayed to the leader.
+     * A gateway that has just lost its connection to the store can't detect this and would
+     * otherwise delay the submission by m_commitTimeout (1.5 s) or more. Longer than the answers of
+     * a slow store, which take 0.24 to 0.33 s.
      */
-    Millis m_hedgeAfter{400};
-    /** Whether it is. */
+    Millis m_hedgeDelay{400};
+    /** Whether slow submissions are also relayed to the leader after m_hedgeDelay. */
     bool m_hedges = true;
     /**
-     * What this gateway can't do is passed on to the leader: worth 0.11 of a day with faults on a
-     * fleet of 15 hosts (mean of 25 paired plays).
+     * Whether requests that this gateway can't complete are relayed to the leader. This
+     * clearly improves the service of a small fleet during faults.
      */
     bool m_relays = true;
     /**
-     * Kept back from the caller's patience, so that the answer arrives in time; an answer takes 1
-     * to 3 ms to a caller. With 300 ms, kept back by both gateways, last tries were not passed on.
+     * Part of the caller's timeout that is reserved for delivering the answer, which takes 1 to 3
+     * ms. With 300 ms reserved by both gateways, the last retries before the caller's deadline were
+     * no longer relayed. The gateway that receives a relayed request reserves nothing.
      */
     Millis m_answerMargin{100};
 };
 
-/** Accepted jobs that have not begun, by queue; queues without any may be left out. */
+/** Numbers of accepted jobs that have not started, by queue; a missing queue has none. */
 using PendingJobs = std::map<std::string, std::size_t>;
 
-/** A gateway that can answer a request when this one can't reach the store. */
+/** Relays requests to the leader, which can answer while this gateway can't reach the store. */
 class IntakeRelay {
 public:
     virtual ~IntakeRelay() = default;
+    /** Returns whether the leader is reachable. */
     virtual bool isUsable() const = 0;
-    /** `done` is called once; with an empty answer when none came in time. */
+    /** Relays a request. `done` is called once, with an empty value if no answer came in time. */
     virtual void relay(const IntakeRequest& request, Millis patience,
                        std::function<void(const std::optional<IntakeAnswer>&)> done) = 0;
-    /** `done` is called once; with nothing when no answer came in time. */
+    /**
+     * Queries the numbers of pending jobs. `done` is called once, with an empty value if no answer
+     * came in time.
+     */
     virtual void countPending(std::function<void(const std::optional<PendingJobs>&)> done) = 0;
 };
 
 /**
- * Takes callers' requests at any gateway, leader or not: a job is accepted when its record is
- * known to be in the store, by a transaction that also expects the configuration under which it
- * was accepted. States are read from the store. What would be refused by the configuration at hand
- * is refused only after a read that was sent after the request confirmed it.
+ * Handles callers' requests at any gateway, leader or not. Runs on the event loop.
+ *
+ * A job is accepted once its record is known to be in the store. The transaction that writes the
+ * record is conditional on the revision of the configuration under which the job was accepted.
+ * States of jobs are read from the store. A request that the local copy of the configuration would
+ * refuse is refused only after a read sent after the request's arrival has confirmed that copy.
  *
- * Refusals (503) are sure: the job was not taken and never runs. An outcome that stays
- * unknown is answered 504.
+ * An answer of 503 is definite: the job was not accepted and never runs. A request whose outcome
+ * remains unknown is answered with 504.
  */
 class JobIntake {
 public:
@@ -108,39 +123,39 @@
     JobIntake(const JobIntake&) = delete;
     JobIntake& operator=(const JobIntake&) = delete;
 
-    /** Called with each key under input/ that was surely written. */
+    /** Sets the callback for each key under input/ whose write the store has confirmed. */
     void onWritten(std::function<void(std::string_view key, std::string_view value)> callback) {
         m_onWritten = std::move(callback);
     }
 
-    /** Who is asked when the store can't be reached; it must outlive the intake. */
+    /** Sets the relay to the leader; it must outlive the intake. */
     void setRelay(IntakeRelay& relay) { m_relay = &relay; }
 
-    /** The store was lost to this gateway, or is back. */
+    /** Records that the store has become unreachable for this gateway, or reachable again. */
     void noteReach(bool isReached);
 
-    /** `done` is called once. */
+    /** Handles a request; `done` is called once. */
     void handle(IntakeRequest request, AnswerCallback done);
 
 private:
     struct Call;
     using CallPtr = std::shared_ptr<Call>;
 
-    void begin(const CallPtr& call);
-    void refreshAndHandle(const CallPtr& call);
+    void process(const CallPtr& call);
+    void refreshAndProcess(const CallPtr& call);
     void findLikelyQueue(Call& call) const;
     void confirmAndRoute(const CallPtr& call);
     void route(const CallPtr& call);
-    /** Answers a refusal after a fresh read has confirmed it, or decides anew. */
+    /** Refuses a request, unless a fresh read of the configuration leads to another decision. */
     void refuse(const CallPtr& call, std::uint32_t status, std::string_view reason);
     void dispatch(const CallPtr& call);
 
     void submit(const CallPtr& call);
     void handleSubmitted(const CallPtr& call, const StoreCommit& commit);
     void readState(const CallPtr& call);
-    void readRecord(const CallPtr& call, bool isSecond);
+    void readRecord(const CallPtr& call, bool isRecordAbsent);
     void cancel(const CallPtr& call);
-    void cancelRecord(const CallPtr& call, bool isSecond);
+    void cancelRecord(const CallPtr& call, bool hasRun);
     void putCancel(const CallPtr& call, const StoreItem& record);
     void answerRead(const CallPtr& call, std::string body, std::string_view reason);
     bool isStillAllowed(const Call& call) const;
@@ -152,12 +167,12 @@
     void answer(const CallPtr& call, std::uint32_t status, std::string body,
                 std::string_view reason);
     void answerUnavailable(const CallPtr& call, std::string_view reason);
-    /** Lets the leader answer; if it can't, the answer is `status`. */
+    /** Relays a request to the leader, or answers with `status` if the leader can't help. */
     void relayOr(const CallPtr& call, std::uint32_t status, std::string_view reason);
     bool mayRelay(const Call& call) const;
-    void askLeader(const CallPtr& call);
-    /** Answers once enough is known of what this gateway and the leader came to. */
-    void settle(const CallPtr& call);
+    void relayToLeader(const CallPtr& call);
+    /** Answers once the outcomes at this gateway and at the leader determine the answer. */
+    void answerIfDecided(const CallPtr& call);
     Millis getTimeLeft(const Call& call) const;
 
     RecordStore& m_store;
@@ -170,11 +185,13 @@
     std::function<void(std::string_view, std::string_view)> m_onWritten = [](std::string_view,
                                                                              std::string_view) {
     };
-    /** Pending jobs by queue, and when they were counted. */
+    /** Cached numbers of pending jobs by queue, and when their count began. */
     PendingJobs m_pending;
-    Millis m_pendingAt{0};
+    Millis m_pendingCountedAt{0};
     bool m_hasPending = false;
+    /** Requests that wait for a new count of the pending jobs. */
     std::vector<CallPtr> m_pendingCalls;
+    /** Expires with this object; asynchronous callbacks check it. */
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
 };
 
--- a/libs/control/include/pierbank/control/LeaderLink.h
+++ b/libs/control/include/pierbank/control/LeaderLink.h
@@ -18,57 +18,71 @@
 namespace pierbank {
 
 /**
- * A gateway's end of the link that the leader keeps to it. Over it the gateway tells the leader at
- * once what it wrote for it; the leader's watch, which may be deaf for seconds, is only the way
- * that can't be missed. Over it the leader also answers for a gateway that lost the store, and
- * tells how old the configuration is: its answer counts from the sending of the question.
+ * A gateway's end of the link that the leader opens to every gateway. Runs on the event loop.
+ *
+ * Over this link the gateway notifies the leader at once of input that it has written to the store.
+ * The leader's watch of the store can't miss such input, but may deliver it seconds late.
+ *
+ * The leader also answers requests for a gateway that can't reach the store, and reports the age of
+ * the configuration. That age counts from the moment at which the gateway sent its query.
  */
 class LeaderLink {
 public:
-    /** Loop and bid must outlive the link; the bid hears what the leader tells of the fleet. */
-    LeaderLink(EventLoop& loop, LeadershipCandidacy& bid);
+    /**
+     * Both references must outlive the link.
+     * @param candidacy receives the leader's reports about the fleet.
+     */
+    LeaderLink(EventLoop& loop, LeadershipCandidacy& candidacy);
     LeaderLink(const LeaderLink&) = delete;
     LeaderLink& operator=(const LeaderLink&) = delete;
 
-    /** Called with the epoch of each leader that links and has the highest so far. */
+    /** Sets the callback for each accepted link of a leader; its epoch is the highest so far. */
     void onLeader(std::function<void(std::uint64_t epoch)> callback) {
         m_onLeader = std::move(callback);
     }
 
-    /** A leader connected; it is obeyed if its epoch is the highest. */
+    /** Accepts a connection from a leader; the leader is obeyed if its epoch is the highest. */
     void handleLink(std::shared_ptr<Link> link) { m_port.handleLink(std::move(link)); }
 
-    /** Called once when a leader that was heard of is not any more. */
+    /** Sets the callback for a leader that has become unresponsive; called once for each time. */
     void onLeaderTimeout(std::function<void()> callback) {
         m_onLeaderTimeout = std::move(callback);
     }
 
-    /** Called with what the leader says of the configuration without being asked for it. */
+    /**
+     * Sets the callback for the leader's notices about the configuration, apart from those passed
+     * to a callback of ask().
+     */
     void onNotice(std::function<void(const ConfigurationNotice&)> callback) {
         m_onNotice = std::move(callback);
     }
 
     using AnswerCallback = std::function<void(const RelayedAnswer&)>;
 
-    /** Whether a leader is linked that has been heard of lately. */
+    /** Returns whether a leader is linked and has sent a message recently. */
     bool isUsable() const;
 
     using NoticeCallback = std::function<void(const std::optional<ConfigurationNotice>&)>;
     using PendingCallback = std::function<void(const std::optional<PendingJobs>&)>;
 
-    /** Asks the leader how old the configuration is. `done` is called once; with nothing when no
-     * answer came in time. */
+    /**
+     * Queries the age of the leader's configuration. `done` is called once, with an empty value if
+     * no answer arrived in time.
+     */
     void ask(NoticeCallback done);
-    /** The same for the jobs that have not begun; with nothing when the leader can't tell. */
+    /**
+     * Queries the number of pending jobs by queue. `done` is called once, with an empty value if no
+     * answer arrived in time or the leader does not have the numbers.
+     */
     void queryPending(PendingCallback done);
 
     /**
-     * Lets the leader answer a request. `done` is called once; with a status of zero when no
-     * answer came in time.
+     * Passes a caller's request on to the leader. `done` is called once, with a status of zero if
+     * no answer arrived within `timeout`.
      */
-    void relay(RelayedRequest request, Millis patience, AnswerCallback done);
+    void relay(RelayedRequest request, Millis timeout, AnswerCallback done);
 
-    /** Tells the leader, if one is linked, what was written under input/. */
+    /** Notifies the leader, if one is linked, of a key that was written under input/. */
     void notify(std::string_view key, std::string_view value);
 
 private:
@@ -76,10 +90,11 @@
     void handleLeader(const LeaderHello& hello);
     void keepAlive();
     void applyNotice(const std::optional<ConfigurationNotice>& notice);
-    void noteUse();
+    /** Calls the timeout callback if the link has become unusable since the last check. */
+    void checkLeaderTimeout();
     using ReplyCallback = std::function<void(const std::optional<GatewayReply>&, Millis sentAt)>;
-    void sendQuestion(bool wantsPending, ReplyCallback done);
-    void finishQuestion(std::uint64_t number, const std::optional<GatewayReply>& reply);
+    void sendQuery(bool wantsPending, ReplyCallback done);
+    void finishQuery(std::uint64_t number, const std::optional<GatewayReply>& reply);
     void handleReply(const GatewayReply& reply);
     void finishRelay(std::uint64_t number, const RelayedAnswer& answer);
 
@@ -92,17 +107,20 @@
     std::function<void(const ConfigurationNotice&)> m_onNotice = [](const ConfigurationNotice&) {
     };
     LeadershipCandidacy& m_bid;
-    struct Question {
+    struct OpenQuery {
         Millis m_sentAt{0};
         ReplyCallback m_done;
     };
-    std::map<std::uint64_t, Question> m_questions;
-    std::uint64_t m_lastQuestion = 0;
-    /** As the leader last told. */
+    /** Queries without a reply, by their number. */
+    std::map<std::uint64_t, OpenQuery> m_openQueries;
+    std::uint64_t m_lastQueryNumber = 0;
+    /** Time between two queries; the leader sets it with its replies. */
     Millis m_requestInterval;
     bool m_wasUsable = false;
-    std::map<std::uint64_t, AnswerCallback> m_relayed;
-    std::uint64_t m_nextRelay = 1;
+    /** Callbacks of relayed requests without an answer, by the request's number. */
+    std::map<std::uint64_t, AnswerCallback> m_openRelays;
+    std::uint64_t m_nextRelayNumber = 1;
+    /** Expires with this object; asynchronous callbacks check it. */
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
 };
 
--- a/libs/control/include/pierbank/control/LeaderLock.h
+++ b/libs/control/include/pierbank/control/LeaderLock.h
@@ -15,23 +15,33 @@
 namespace pierbank {
 
 struct LeaderLockSettings {
-    /** Name of this gateway, and where it takes operators' statements; both lie in the key. */
+    /** Name of this gateway; part of the leader key's value. */
     std::string m_node;
+    /** Address at which this gateway accepts operators' statements; part of the key's value. */
     Address m_operators;
-    /** A dead leader is replaced after about this time; the store grants no less. */
+    /**
+     * Requested duration of the leader lease, after which a dead leader is replaced. The store may
+     * enforce a minimum duration.
+     */
     Millis m_timeToLive{1000};
     /** Time between two renewals. */
-    Millis m_renewInterval{250};
-    /** Time of one waiting watch of a follower; a watch that was cut may just stay silent. */
-    Millis m_watchWait{800};
-    /** The same while the leader is heard of over its link, whose end says more than a watch. */
-    Millis m_ledWatchWait{10'000};
+    Millis m_renewalInterval{250};
+    /** Timeout of one watch of a follower. A watch whose connection was cut may never answer. */
+    Millis m_watchTimeout{800};
+    /**
+     * Timeout of one watch while the leader's link is usable: the end of that link reveals a lost
+     * leader more reliably than a watch does.
+     */
+    Millis m_linkedWatchTimeout{10'000};
 };
 
 /**
- * One gateway leads: it holds the leader key under a lease of the store. The key's revision is
- * the epoch; it only rises, and no two holders share it. Safety does not rest on the lease, but on
- * every write of a leader expecting the key's revision.
+ * Elects one leader among the gateways: the leader holds the leader key under a lease of the store.
+ * The revision at which the key was written is the epoch. Epochs only grow, and no two leaders
+ * share one. Safety does not depend on the lease, since every write of a leader is conditional on
+ * the key's revision.
+ *
+ * Runs on the event loop; callbacks are called from it.
  */
 class LeaderLock {
 public:
@@ -41,49 +51,63 @@
     LeaderLock(const LeaderLock&) = delete;
     LeaderLock& operator=(const LeaderLock&) = delete;
 
+    /** Sets the callback for the start of this gateway's leadership. */
     void onAcquired(std::function<void(StoreRevision epoch)> callback) {
         m_onAcquired = std::move(callback);
     }
+    /** Sets the callback for the end of this gateway's leadership, release() included. */
     void onLost(std::function<void()> callback) { m_onLost = std::move(callback); }
 
-    /** How long this gateway waits before it goes for a free key. */
-    void setElectionDelayProvider(std::function<Millis()> getPause) {
-        m_getElectionDelay = std::move(getPause);
+    /** Sets the provider of the delay before this gateway tries to acquire a free key. */
+    void setElectionDelayProvider(std::function<Millis()> getDelay) {
+        m_getElectionDelay = std::move(getDelay);
     }
-    /** Whether the leader is heard of over a link. */
+    /** Sets the predicate that tells whether the leader is reachable over its link. */
     void setLeaderProbe(std::function<bool()> hasLeader) { m_hasLeader = std::move(hasLeader); }
-    /** Called when the store did not answer a look at the key. */
+    /** Sets the callback for a read of the key that failed. */
     void onUnanswered(std::function<void()> callback) { m_onUnanswered = std::move(callback); }
 
+    /** Starts to watch the key, and to acquire it whenever it is free. */
     void start();
-    /** The leader is not heard of any more: looks at the key soon, whatever a watch says. */
-    void pollWithin(Millis pause);
-    /** Gives the key back at once and does not try again. */
+    /**
+     * Polls the key after `delay`, regardless of a watch that is under way. Used when the leader
+     * has become unresponsive. Does nothing while this gateway leads or after release().
+     */
+    void pollWithin(Millis delay);
+    /** Ends the leadership, if held, at once, and never tries to acquire the key again. */
     void release();
-    /** Somebody saw that another holds the key, or that this holder has to begin anew. */
+    /**
+     * Ends the leadership because another gateway has superseded this gateway, or because this
+     * leader has to reload its state. The key may be acquired again. Does nothing while not held.
+     */
     void abandon();
 
     bool isHeld() const noexcept { return m_epoch != 0; }
+    /** Epoch of this gateway's leadership; zero while not held. */
     StoreRevision getEpoch() const noexcept { return m_epoch; }
-    /** Where the leader takes statements, as last read; empty when none is known. */
+    /**
+     * Address at which the leader accepts statements, as of the last read or change of the key;
+     * empty when no leader is known.
+     */
     std::optional<Address> getLeader() const { return m_leader; }
-    /** When the last successful renewal was sent; valid while held. */
+    /** Time at which the last successful renewal was sent; valid while held. */
     Millis getConfirmedAt() const noexcept { return m_confirmedAt; }
 
 private:
-    void look();
+    void readKey();
     void handlePoll(const StoreRead& read);
-    void pollLater(Millis pause);
-    Millis getRetryPause() const;
-    void follow(StoreRevision after);
+    void pollLater(Millis delay);
+    Millis getRetryDelay() const;
+    void watchKey(StoreRevision after);
     void handleChanges(const StoreChanges& changes);
     void updateLeader(std::string_view value);
-    void bid();
-    void cancelBid();
-    void acquire();
-    void take(StoreLease lease, Millis sentAt);
+    void startCandidacy();
+    void cancelCandidacy();
+    void acquireLease();
+    void writeKey(StoreLease lease, Millis sentAt);
     void renew();
-    void lose(std::string_view why);
+    void endLeadership(std::string_view reason);
+    /** Returns a task that does nothing once this object is destroyed. */
     std::function<void()> guarded(std::function<void()> task);
 
     RecordStore& m_store;
@@ -100,14 +124,15 @@
     std::function<void()> m_onUnanswered = [] {
     };
     std::optional<Address> m_leader;
-    TimerId m_bidTimer = TimerId::NONE;
+    TimerId m_electionTimer = TimerId::NONE;
     bool m_isAcquiring = false;
-    /** Replaced with each look at the key: what earlier ones still bring is ignored. */
+    /** Identifies the current poll; replaced by each poll, so that late results are dropped. */
     std::shared_ptr<bool> m_poll;
     StoreRevision m_epoch = 0;
     StoreLease m_lease = 0;
     Millis m_confirmedAt{0};
     bool m_isReleased = false;
+    /** Expires with this object; asynchronous callbacks check it. */
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
 };
 
--- a/libs/control/include/pierbank/control/LeaderPort.h
+++ b/libs/control/include/pierbank/control/LeaderPort.h
@@ -14,8 +14,8 @@
 namespace pierbank {
 
 /**
- * Where leaders connect, at a gateway as at a sidecar. Of several leaders the one with the highest
- * epoch is obeyed; links of lower epochs are closed.
+ * Accepts the links that leaders open to a gateway or a sidecar. Only the leader with the highest
+ * epoch is obeyed; links of leaders with lower epochs are closed. Runs on the event loop.
  */
 class LeaderPort {
 public:
@@ -23,8 +23,9 @@
     using FrameCallback = std::function<void(const Frame&)>;
 
     /**
-     * @param component names the owner in the log. The loop must outlive the port.
-     * @param onLeader called when a leader's link begins to be obeyed.
+     * The loop must outlive the port.
+     * @param component names the owner in the log; the text must outlive the port.
+     * @param onLeader called when a leader's link has been accepted.
      * @param onFrame called with each further frame of that link.
      */
     LeaderPort(EventLoop& loop, std::string_view component, HelloCallback onLeader,
@@ -32,33 +33,34 @@
     LeaderPort(const LeaderPort&) = delete;
     LeaderPort& operator=(const LeaderPort&) = delete;
 
-    /** A leader connected; it names itself in its first frame. */
+    /** Accepts a new connection; the leader identifies itself in its first frame. */
     void handleLink(std::shared_ptr<Link> link);
 
     bool isLinked() const noexcept { return m_leader != nullptr; }
     /** Highest epoch seen; zero before the first. */
     std::uint64_t getEpoch() const noexcept { return m_epoch; }
-    /** Time since something came from the leader. */
+    /** Time since the last frame of the obeyed leader. */
     Millis getIdleTime() const { return m_loop.now() - m_lastReceivedAt; }
-    /** @return false when no leader is linked. */
+    /** Sends a frame to the leader. @return false when no leader is linked or the send failed. */
     bool send(const Frame& frame);
-    /** Closes the leader's link; the leader may connect again. */
-    void drop(std::string_view why);
+    /** Closes the leader's link; the leader may connect again. @param reason for the log. */
+    void drop(std::string_view reason);
 
 private:
     void handleFrame(const std::weak_ptr<Link>& from, const Frame& frame);
     void handleClosed(const std::weak_ptr<Link>& closed);
-    void adopt(const std::shared_ptr<Link>& link, const LeaderHello& hello);
+    void acceptLeader(const std::shared_ptr<Link>& link, const LeaderHello& hello);
 
     EventLoop& m_loop;
     const std::string_view m_component;
     const HelloCallback m_onLeader;
     const FrameCallback m_onFrame;
     std::shared_ptr<Link> m_leader;
-    /** Links whose first frame has not come. */
+    /** Links whose first frame has not arrived yet. */
     std::vector<std::shared_ptr<Link>> m_newLinks;
     std::uint64_t m_epoch = 0;
     Millis m_lastReceivedAt{0};
+    /** Expires with this object; asynchronous callbacks check it. */
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
 };
 
--- a/libs/control/include/pierbank/control/LeadershipCandidacy.h
+++ b/libs/control/include/pierbank/control/LeadershipCandidacy.h
@@ -10,26 +10,34 @@
 namespace pierbank {
 
 struct LeadershipCandidacySettings {
-    /** Of one core; what the host gives to this gateway. */
+    /** Share of one core that this gateway gets from its host. */
     double m_processorShare = 1.0;
+    /** Bandwidth of this gateway's host, in megabits per second. */
     double m_linkMbps = 1000.0;
-    /** Bids of a fleet are spread over so long a gateway, so that few write at the same time. */
+    /**
+     * Part of the spread per gateway. The election delays of all gateways are distributed over the
+     * spread, so that few gateways write to the store at the same time.
+     */
     Millis m_spreadPerGateway{2};
     Millis m_maxSpread{200};
-    /** A gateway that has never had a leader does not know how many there are. */
+    /** Spread of a gateway that has never had a leader and so can't tell the number of gateways. */
     Millis m_unknownSpread{50};
-    /** What a gateway without any fitness waits beyond the spread. */
+    /** Delay beyond the spread of a gateway with a fitness of zero. */
     Millis m_maxFitnessDelay{100};
 };
 
 /**
- * Decides who goes for a free leader key first. Each gateway waits for a random part of a spread,
- * which grows with the number of gateways: so the first bid comes early whatever their number is,
- * and most of the others see its key before they bid. A gateway that could lead less well than the
- * best one that the last leader knew, or than one with a core of its own if there was none, waits
- * beyond the whole spread. It bids all the same: with none better left it leads.
+ * Decides which gateway goes first for a free leader key, by the election delay of each gateway.
+ *
+ * The delay is a random part of a spread that grows with the number of gateways. The first
+ * candidate therefore comes early however many gateways there are, and most of the others see its
+ * key before they become candidates themselves.
  *
- * No clock, no network; the owner calls drawElectionDelay() when the key is free.
+ * A gateway whose fitness is below the best fitness that the last leader reported waits longer, up
+ * to beyond the whole spread. Without such a report the fitness of a full core takes the place of
+ * the best fitness. Less fit gateways remain candidates and lead if no better gateway is left.
+ *
+ * Uses neither clock nor network; the owner calls drawElectionDelay() when the key is free.
  */
 class LeadershipCandidacy {
 public:
@@ -37,17 +45,22 @@
             : m_settings(settings), m_random(std::move(random)) {}
 
     /**
-     * How well this gateway could lead, in thousandths of a core that answers at once on a link
-     * that is wide enough. The processor of a host whose loop lags is not this gateway's alone.
+     * Returns how well this gateway could lead, in thousandths of one core with a responsive event
+     * loop and a sufficient link. A lagging event loop lowers the fitness, since the gateway then
+     * shares the host's processor with others.
      */
     std::uint32_t getFitness() const;
 
-    /** How late a timer of this gateway's loop ran. */
+    /** Records how late a timer of this gateway's event loop ran. */
     void recordLag(Millis lag);
 
-    /** What a leader told: linked gateways, and the best fitness among them and itself. */
+    /**
+     * Records a leader's report: the number of linked gateways, and the best fitness among them and
+     * the leader itself.
+     */
     void recordFleet(std::uint32_t gateways, std::uint32_t bestFitness);
 
+    /** Returns a new random delay before this gateway tries to acquire the leader key. */
     Millis drawElectionDelay();
 
 private:
@@ -56,8 +69,8 @@
 
     const LeadershipCandidacySettings m_settings;
     Random m_random;
-    /** Fading mean, in milliseconds. */
-    double m_lag = 0;
+    /** Exponential moving average, in milliseconds. */
+    double m_meanLag = 0;
     std::uint32_t m_gateways = 0;
     std::uint32_t m_bestFitness = 0;
 };
--- a/libs/control/include/pierbank/control/QueueConfiguration.h
+++ b/libs/control/include/pierbank/control/QueueConfiguration.h
@@ -12,28 +12,29 @@
 
 namespace pierbank {
 
-/** A queue that callers hand jobs in to, chosen by host name and path. */
+/** Maps requests with a host name and a path prefix to the queue that callers submit jobs to. */
 struct QueueRoute {
     /** Host name without a port. */
     std::string m_host;
     /** Begins with a slash. */
     std::string m_pathPrefix;
     QueuePolicy m_policy;
-    /** Callers need no key. */
+    /** Whether callers need no key. */
     bool m_isOpen = false;
 };
 
-/** The operators' configuration as one version of it says. */
+/** One version of the operators' configuration. */
 struct QueueConfiguration {
     std::uint64_t m_version = 0;
     std::vector<QueueRoute> m_routes;
-    /** Callers' keys, each with its organisation. */
+    /** Organisations by the API key of their callers. */
     std::map<std::string, std::string, std::less<>> m_organisationsByKey;
-    /** Accelerators that belong to an organisation for work of priority 0. */
+    /** Accelerators guaranteed to an organisation for work of priority 0. */
     std::map<std::string, std::uint32_t> m_guarantees;
+    /** Maximum size of a submitted job. */
     std::size_t m_maxBodyBytes = 262144;
 
-    /** The route with this host and the longest prefix of the path; null for none. */
+    /** Returns the route with this host and the longest matching path prefix, or null. */
     const QueueRoute* findRoute(std::string_view host, std::string_view path) const;
 };
 
--- a/libs/control/include/pierbank/control/RetryAfterPolicy.h
+++ b/libs/control/include/pierbank/control/RetryAfterPolicy.h
@@ -11,42 +11,49 @@
 namespace pierbank {
 
 struct RetryAfterPolicySettings {
-    /** The header counts in seconds; sooner tells a caller nothing. */
-    Millis m_least{1000};
-    /** Outages of the store last seconds; whoever waits longer misses its return. */
-    Millis m_most{10'000};
-    /** Others than urgent callers come back up to so much later, each at a moment of its own. */
-    double m_spread = 0.5;
+    /** Minimum delay. The Retry-After header counts in seconds, so less can't be expressed. */
+    Millis m_minDelay{1000};
+    /**
+     * Maximum delay, before the spread. Outages of the store last seconds; a caller with a longer
+     * delay would return long after the end of the outage.
+     */
+    Millis m_maxDelay{10'000};
+    /** Maximum share of the delay that is added for callers that are not urgent. */
+    double m_maxSpreadShare = 0.5;
 };
 
-/** Who was refused, as far as it decides when to come back. */
+/** Properties of a refused caller that determine its delay. */
 struct RefusedCaller {
+    /** Identifies the request; callers with different ids get different delays. */
     std::string_view m_id;
     bool m_isUrgent = false;
-    /** How long it goes on asking; zero when that is not known. */
+    /** Time that the caller has left before its own deadline; zero if unknown. */
     Millis m_timeLeft{0};
 };
 
 /**
- * Tells refused callers when to come back, from what a gateway saw of the store's outages: the age
- * of this one, and how long earlier ones lasted on the mean. Urgent callers come first, the
- * others are spread so that they don't all return at once.
+ * Chooses the delay after which a refused caller retries, from the store outages that a gateway has
+ * seen: the age of the current outage, and the mean duration of earlier ones. Urgent callers retry
+ * first; the delays of the others are spread so that they don't all return at once.
  */
 class RetryAfterPolicy {
 public:
     explicit RetryAfterPolicy(const RetryAfterPolicySettings& settings) : m_settings(settings) {}
 
+    /** Records the start of an outage; does nothing during one. */
     void recordLost(Millis now);
+    /** Records the end of the current outage, if there is one. */
     void recordRegained(Millis now);
-    Millis advise(const RefusedCaller& caller, Millis now) const;
+    /** Returns the delay after which the caller should retry. */
+    Millis getRetryDelay(const RefusedCaller& caller, Millis now) const;
 
 private:
-    Millis expectRemaining(Millis now) const;
+    Millis estimateRemaining(Millis now) const;
 
     const RetryAfterPolicySettings m_settings;
     std::optional<Millis> m_lostAt;
-    /** Moving mean; empty before the first outage is over. */
-    std::optional<Millis> m_typicalOutage;
+    /** Moving average of the outages' durations; empty until the first outage has ended. */
+    std::optional<Millis> m_meanOutage;
 };
 
 }  // namespace pierbank
--- a/libs/control/src/CommitResolver.cpp
+++ b/libs/control/src/CommitResolver.cpp
@@ -8,39 +8,40 @@
 
 namespace {
 
-/** A try is given up after this time; each further one gets twice as long. */
-constexpr Millis FIRST_TRY{300};
-constexpr Millis LONGEST_TRY{2000};
-/** Pause after a refusal. */
-constexpr Millis REFUSAL_PAUSE{100};
+/** Timeout of the first attempt; the timeout doubles with each further attempt. */
+constexpr Millis INITIAL_TIMEOUT{300};
+constexpr Millis MAX_TIMEOUT{2000};
+/** Delay before a refused transaction is retried. */
+constexpr Millis REFUSAL_RETRY_DELAY{100};
 
-struct Attempt : std::enable_shared_from_this<Attempt> {
+/** State of one transaction until its outcome is known; kept alive by its callbacks. */
+struct Resolution : std::enable_shared_from_this<Resolution> {
     RecordStore* m_store = nullptr;
     EventLoop* m_loop = nullptr;
     StoreTransaction m_transaction;
-    CommitRetryPolicy m_patience;
+    CommitRetryPolicy m_policy;
     CommitResolver::Guard m_guard;
     CommitResolver::Callback m_done;
     Millis m_startedAt{0};
-    Millis m_tryTime = FIRST_TRY;
-    /** An earlier try may have taken effect. */
-    bool m_isUncertain = false;
+    Millis m_timeout = INITIAL_TIMEOUT;
+    /** Whether an earlier attempt without an answer may have taken effect. */
+    bool m_mayBeCommitted = false;
 
-    bool isPatient() const {
-        return m_patience.m_limit == Millis(0) || m_loop->now() - m_startedAt < m_patience.m_limit;
+    bool mayRetry() const {
+        return m_policy.m_limit == Millis(0) || m_loop->now() - m_startedAt < m_policy.m_limit;
     }
 
     void run() {
         if (m_guard.expired()) {
             return;
         }
-        Millis tryTime = m_tryTime;
-        if (m_patience.m_limit > Millis(0)) {
-            const Millis left = m_patience.m_limit - (m_loop->now() - m_startedAt);
-            tryTime = std::clamp(left, Millis(1), m_tryTime);
+        Millis timeout = m_timeout;
+        if (m_policy.m_limit > Millis(0)) {
+            const Millis left = m_policy.m_limit - (m_loop->now() - m_startedAt);
+            timeout = std::clamp(left, Millis(1), m_timeout);
         }
         m_store->commit(
-                m_transaction, tryTime,
+                m_transaction, timeout,
                 [self = shared_from_this()](const StoreCommit& commit) { self->handle(commit); });
     }
 
@@ -53,13 +54,13 @@
                 finishConflict(commit);
                 return;
             case StoreStatus::UNKNOWN:
-                m_isUncertain = true;
-                m_tryTime = std::min(m_tryTime * 2, LONGEST_TRY);
-                retry(commit, Millis(0));
+                m_mayBeCommitted = true;
+                m_timeout = std::min(m_timeout * 2, MAX_TIMEOUT);
+                retryLater(commit, Millis(0));
                 return;
             case StoreStatus::REFUSED:
-                if (m_isUncertain || m_patience.m_retriesRefusals) {
-                    retry(commit, REFUSAL_PAUSE);
+                if (m_mayBeCommitted || m_policy.m_retriesRefusals) {
+                    retryLater(commit, REFUSAL_RETRY_DELAY);
                     return;
                 }
                 m_done(commit);
@@ -69,22 +70,22 @@
         }
     }
 
-    void retry(const StoreCommit& last, Millis pause) {
-        if (isPatient()) {
-            m_loop->callLater(pause, [self = shared_from_this()] { self->run(); });
+    void retryLater(const StoreCommit& last, Millis delay) {
+        if (mayRetry()) {
+            m_loop->callLater(delay, [self = shared_from_this()] { self->run(); });
             return;
         }
         StoreCommit outcome = last;
-        if (m_isUncertain) {
+        if (m_mayBeCommitted) {
             outcome.m_status = StoreStatus::UNKNOWN;
         }
         m_done(outcome);
     }
 
-    /** An earlier try took effect if every key it wrote has the value that it wrote. */
+    /** An earlier attempt took effect if all keys of the transaction have the written values. */
     void finishConflict(const StoreCommit& commit) {
         StoreCommit outcome = commit;
-        if (m_isUncertain && isWritten(commit, outcome.m_revision)) {
+        if (m_mayBeCommitted && isWritten(commit, outcome.m_revision)) {
             outcome.m_status = StoreStatus::OK;
         }
         m_done(outcome);
@@ -111,16 +112,16 @@
 }  // namespace
 
 void CommitResolver::run(RecordStore& store, EventLoop& loop, StoreTransaction transaction,
-                         CommitRetryPolicy patience, const Guard& guard, Callback done) {
-    const auto attempt = std::make_shared<Attempt>();
-    attempt->m_store = &store;
-    attempt->m_loop = &loop;
-    attempt->m_transaction = std::move(transaction);
-    attempt->m_patience = patience;
-    attempt->m_guard = guard;
-    attempt->m_done = std::move(done);
-    attempt->m_startedAt = loop.now();
-    attempt->run();
+                         CommitRetryPolicy policy, const Guard& guard, Callback done) {
+    const auto resolution = std::make_shared<Resolution>();
+    resolution->m_store = &store;
+    resolution->m_loop = &loop;
+    resolution->m_transaction = std::move(transaction);
+    resolution->m_policy = policy;
+    resolution->m_guard = guard;
+    resolution->m_done = std::move(done);
+    resolution->m_startedAt = loop.now();
+    resolution->run();
 }
 
 }  // namespace pierbank
--- a/libs/control/src/ConfigurationFeed.cpp
+++ b/libs/control/src/ConfigurationFeed.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/** Pause before a watch that failed is begun again. */
-constexpr Millis WATCH_PAUSE{300};
+/** Delay before a failed watch is started again. */
+constexpr Millis WATCH_RETRY_DELAY{300};
 
 }  // namespace
 
@@ -33,7 +33,7 @@
     return m_loop.now() - *m_confirmedAt;
 }
 
-/** While the store is lost its return is looked for, whatever the source says. */
+/** Reads even with a usable source while the store is lost, in order to detect its return. */
 void ConfigurationFeed::poll() {
     const auto age = getAge();
     const bool isOld = m_configuration.has_value() && *age > m_settings.m_maxNoticeAge;
@@ -49,7 +49,7 @@
 }
 
 void ConfigurationFeed::confirm(std::function<void(bool)> done) {
-    m_waiting.push_back(std::move(done));
+    m_queuedCallbacks.push_back(std::move(done));
     if (!m_isReading) {
         read();
     }
@@ -65,19 +65,20 @@
         if (alive.expired()) {
             return;
         }
-        // A source that is behind must not decide by what is older here.
+        // A source with an older revision must not confirm this copy.
         if (!notice.has_value() || notice->m_revision < m_revision) {
             confirm([done](bool) { done(); });
             return;
         }
-        // A newer one may take seconds to read; until then the source can answer in this place.
+        // Reading a newer revision may take seconds; until then requests can be relayed to the
+        // source.
         applyNotice(*notice);
         done();
     });
 }
 
 void ConfigurationFeed::applyNotice(const ConfigurationNotice& notice) {
-    m_newest = std::max(m_newest, notice.m_revision);
+    m_newestRevision = std::max(m_newestRevision, notice.m_revision);
     if (isOutdated()) {
         confirm([](bool) {});
     } else if (notice.m_revision == m_revision && m_configuration.has_value()) {
@@ -88,7 +89,7 @@
 
 void ConfigurationFeed::read() {
     m_isReading = true;
-    m_reading = std::exchange(m_waiting, {});
+    m_activeCallbacks = std::exchange(m_queuedCallbacks, {});
     const Millis sentAt = m_loop.now();
     const auto done = [this, sentAt, alive = std::weak_ptr(m_isAlive)](const StoreRead& read) {
         if (!alive.expired()) {
@@ -105,10 +106,10 @@
 void ConfigurationFeed::handleRead(const StoreRead& read, Millis sentAt) {
     const bool isGood = read.m_status == StoreStatus::OK;
     if (isGood) {
-        learn(read.m_item, sentAt);
-        m_readAt = std::max(m_readAt, read.m_at);
+        applyItem(read.m_item, sentAt);
+        m_lastReadRevision = std::max(m_lastReadRevision, read.m_at);
     }
-    m_isSilent = !isGood && m_loop.now() - sentAt > m_settings.m_quickRefusal;
+    m_isUnresponsive = !isGood && m_loop.now() - sentAt > m_settings.m_maxQuickRefusal;
     if (isGood == m_isLost) {
         m_isLost = !isGood;
         m_onReachabilityChange(isGood);
@@ -117,27 +118,30 @@
                  {{"status", std::string(toText(read.m_status))}, {"reason", read.m_reason}});
     }
     m_isReading = false;
-    for (const auto& done : std::exchange(m_reading, {})) {
+    for (const auto& done : std::exchange(m_activeCallbacks, {})) {
         done(isGood);
     }
-    if (isSilent()) {
-        probeLater();
+    if (isStoreUnresponsive()) {
+        scheduleProbe();
     }
-    if (!m_waiting.empty() && !m_isReading) {
+    if (!m_queuedCallbacks.empty() && !m_isReading) {
         this->read();
     }
 }
 
-/** No request asks a silent store, so that a read of our own is always under way. */
-void ConfigurationFeed::probeLater() {
-    m_loop.callLater(m_settings.m_probePause, [this, alive = std::weak_ptr(m_isAlive)] {
+/**
+ * Requests do not trigger reads of an unresponsive store, so the feed itself keeps a read under
+ * way.
+ */
+void ConfigurationFeed::scheduleProbe() {
+    m_loop.callLater(m_settings.m_probeDelay, [this, alive = std::weak_ptr(m_isAlive)] {
         if (!alive.expired() && !m_isReading) {
             confirm([](bool) {});
         }
     });
 }
 
-void ConfigurationFeed::learn(const StoreItem& item, Millis sentAt) {
+void ConfigurationFeed::applyItem(const StoreItem& item, Millis sentAt) {
     if (item.m_revision < m_revision) {
         return;
     }
@@ -177,11 +181,11 @@
 }
 
 bool ConfigurationFeed::isSlowToTransfer() const {
-    constexpr double BITS = 8.0;
-    constexpr double BITS_PER_MILLI = 1000.0;
-    const double transfer =
-            static_cast<double>(m_valueBytes) * BITS / (m_settings.m_linkMbps * BITS_PER_MILLI);
-    return transfer > static_cast<double>(m_settings.m_slowTransfer.count());
+    constexpr double BITS_PER_BYTE = 8.0;
+    constexpr double BITS_PER_MS_PER_MBPS = 1000.0;
+    const double transferMs = static_cast<double>(m_valueBytes) * BITS_PER_BYTE /
+                              (m_settings.m_linkMbps * BITS_PER_MS_PER_MBPS);
+    return transferMs > static_cast<double>(m_settings.m_slowTransfer.count());
 }
 
 void ConfigurationFeed::keepWatching() {
@@ -197,13 +201,13 @@
             return;
         }
         const bool isGood = changes.m_status == StoreStatus::OK;
-        // After an error the reads say how far the view surely reaches.
-        m_watchedTo = isGood ? changes.m_at : m_readAt;
+        // After an error, continue from the last successful read, which the copy surely includes.
+        m_watchedRevision = isGood ? changes.m_at : m_lastReadRevision;
         if (isGood && !changes.m_events.empty()) {
-            takeChanges(changes);
+            applyChanges(changes);
             confirm([](bool) {});
         }
-        m_loop.callLater(isGood ? Millis(0) : WATCH_PAUSE,
+        m_loop.callLater(isGood ? Millis(0) : WATCH_RETRY_DELAY,
                          [this, alive = std::weak_ptr(m_isAlive)] {
                              if (!alive.expired()) {
                                  m_isWatching = false;
@@ -211,15 +215,15 @@
                              }
                          });
     };
-    m_store.watch(CONFIGURATION_KEY, m_watchedTo, m_settings.m_watchWait, onChanges);
+    m_store.watch(CONFIGURATION_KEY, m_watchedRevision, m_settings.m_watchTimeout, onChanges);
 }
 
-/** They bring the value, which need not be read again, and tell nothing of its age. */
-void ConfigurationFeed::takeChanges(const StoreChanges& changes) {
+/** Applies values from a watch, which need not be read again, without renewing the copy's age. */
+void ConfigurationFeed::applyChanges(const StoreChanges& changes) {
     for (const StoreEvent& event : changes.m_events) {
         if (m_confirmedAt.has_value() && !event.m_isDeleted &&
             event.m_item.m_key == CONFIGURATION_KEY) {
-            learn(event.m_item, *m_confirmedAt);
+            applyItem(event.m_item, *m_confirmedAt);
         }
     }
 }
--- a/libs/control/src/EvacuationFeed.cpp
+++ b/libs/control/src/EvacuationFeed.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/** Of the bound, what a list may be old when work is placed by it. */
-constexpr double CERTAIN_SHARE = 0.6;
+/** Maximum age of a list that work is placed by, as a share of the bound. */
+constexpr double MAX_AGE_SHARE = 0.6;
 
 }  // namespace
 
@@ -29,9 +29,9 @@
 }
 
 bool EvacuationFeed::isCertain() const {
-    const auto oldest = CERTAIN_SHARE * static_cast<double>(m_settings.m_bound.count());
+    const auto maxAge = MAX_AGE_SHARE * static_cast<double>(m_settings.m_bound.count());
     return m_confirmedAt.has_value() &&
-           static_cast<double>((m_loop.now() - *m_confirmedAt).count()) <= oldest;
+           static_cast<double>((m_loop.now() - *m_confirmedAt).count()) <= maxAge;
 }
 
 void EvacuationFeed::read() {
--- a/libs/control/src/JobIntake.cpp
+++ b/libs/control/src/JobIntake.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-/** With less time left a request is not passed on: the leader needs two calls of the store. */
-constexpr Millis LEAST_RELAY{30};
-/** A job that meets so many changes of the configuration in a row is refused. */
+/** Minimum time left for relaying a request: the leader needs two calls of the store. */
+constexpr Millis MIN_RELAY_TIME{30};
+/** Maximum number of attempts to submit a job while the configuration keeps changing. */
 constexpr std::uint32_t MAX_SUBMIT_TRIES = 5;
 
 bool isJobId(std::string_view text) {
@@ -26,8 +26,8 @@
            text.find_first_not_of("0123456789abcdefABCDEF") == std::string_view::npos;
 }
 
-/** Names the job in the log of a request whose queue is not known yet; empty when it names none. */
-std::string getJobIdOf(std::string_view path) {
+/** Returns the job id that a path ends in, or an empty string. Used for the log before routing. */
+std::string findJobId(std::string_view path) {
     const std::string_view last = path.substr(path.rfind('/') + 1);
     return isJobId(last) ? std::string(last) : std::string();
 }
@@ -56,22 +56,22 @@
     call->m_request = std::move(request);
     call->m_done = std::move(done);
     call->m_startedAt = m_loop.now();
-    call->m_id = getJobIdOf(call->m_request.m_path);
+    call->m_id = findJobId(call->m_request.m_path);
     findLikelyQueue(*call);
-    begin(call);
+    process(call);
 }
 
-void JobIntake::refreshAndHandle(const CallPtr& call) {
+void JobIntake::refreshAndProcess(const CallPtr& call) {
     call->m_isRefreshed = true;
     m_configuration.refresh([this, call, alive = std::weak_ptr(m_isAlive)] {
         if (!alive.expired()) {
-            begin(call);
+            process(call);
         }
     });
 }
 
-/** Decides by a configuration that is recent enough, or has it confirmed. */
-void JobIntake::begin(const CallPtr& call) {
+/** Routes a request by the local configuration if that is recent, or has it confirmed first. */
+void JobIntake::process(const CallPtr& call) {
     const auto age = m_configuration.getAge();
     const bool isRecent = age.has_value() && *age <= m_settings.m_maxConfigurationAge;
     if (isRecent && !m_configuration.isOutdated()) {
@@ -79,11 +79,11 @@
         return;
     }
     if (m_configuration.hasUsableSource() && !call->m_isRefreshed) {
-        refreshAndHandle(call);
+        refreshAndProcess(call);
         return;
     }
-    // A store that refuses quickly is asked by each request: it may be back this moment.
-    const bool isQuick = m_configuration.isLost() && !m_configuration.isSilent();
+    // While the store refuses quickly, each request tries a read: the store may have returned.
+    const bool isQuick = m_configuration.isLost() && !m_configuration.isStoreUnresponsive();
     if (!isQuick && (m_configuration.isLost() || mayRelay(*call))) {
         answerUnavailable(call, "the store does not answer this gateway");
         return;
@@ -102,7 +102,7 @@
     }
 }
 
-/** Decides, or decides anew, by a configuration that was read since the request came. */
+/** Routes a request by a configuration that was confirmed after the arrival of the request. */
 void JobIntake::confirmAndRoute(const CallPtr& call) {
     m_configuration.confirm([this, call](bool isGood) {
         if (!isGood || m_configuration.get() == nullptr) {
@@ -124,7 +124,7 @@
 
 Millis JobIntake::getTimeLeft(const Call& call) const {
     const Millis passed = m_loop.now() - call.m_startedAt;
-    // Who passed a request on has kept its margin back already.
+    // The gateway that relayed this request has already deducted its margin.
     const Millis margin = call.m_request.m_isRelayed ? Millis(0) : m_settings.m_answerMargin;
     return call.m_request.m_patience - margin - passed;
 }
@@ -140,7 +140,7 @@
     const auto organisation = configuration.m_organisationsByKey.find(request.m_key);
     const bool isKnown = organisation != configuration.m_organisationsByKey.end();
     if (!isKnown && !route->m_isOpen) {
-        refuse(call, HTTP_UNAUTHORIZED, "the key is not known");
+        refuse(call, HTTP_UNAUTHORIZED, "the API key is unknown");
         return;
     }
     call->m_policy = route->m_policy;
@@ -185,7 +185,7 @@
     Findings findings;
     auto spec = m_codec.readJob(call->m_request.m_body, findings);
     if (!spec.has_value()) {
-        answer(call, HTTP_BAD_REQUEST, findings.toText(), "the body is no job");
+        answer(call, HTTP_BAD_REQUEST, findings.toText(), "the body is not a valid job");
         return;
     }
     JobRecord record;
@@ -198,18 +198,18 @@
     transaction.m_conditions = {{std::string(CONFIGURATION_KEY), call->m_configurationRevision},
                                 {getJobKey(call->m_id), 0},
                                 {getRunKey(call->m_id), 0}};
-    call->m_written = encodeJobRecord(record);
-    transaction.m_puts = {{getJobKey(call->m_id), call->m_written, 0}};
+    call->m_encodedRecord = encodeJobRecord(record);
+    transaction.m_puts = {{getJobKey(call->m_id), call->m_encodedRecord, 0}};
     call->m_submittedAt = m_loop.now();
-    CommitRetryPolicy patience;
-    patience.m_limit = std::clamp(getTimeLeft(*call), Millis(1), m_settings.m_commitTimeout);
-    CommitResolver::run(m_store, m_loop, std::move(transaction), patience, m_isAlive,
+    CommitRetryPolicy retryPolicy;
+    retryPolicy.m_limit = std::clamp(getTimeLeft(*call), Millis(1), m_settings.m_commitTimeout);
+    CommitResolver::run(m_store, m_loop, std::move(transaction), retryPolicy, m_isAlive,
                         [this, call](const StoreCommit& commit) { handleSubmitted(call, commit); });
-    const Millis hedgeAfter = std::min(m_settings.m_hedgeAfter, getTimeLeft(*call) / 2);
-    m_loop.callLater(hedgeAfter, [this, call, alive = std::weak_ptr(m_isAlive)] {
+    const Millis hedgeDelay = std::min(m_settings.m_hedgeDelay, getTimeLeft(*call) / 2);
+    m_loop.callLater(hedgeDelay, [this, call, alive = std::weak_ptr(m_isAlive)] {
         const bool isOpen = !alive.expired() && !call->m_isAnswered;
         if (isOpen && m_settings.m_hedges && mayRelay(*call)) {
-            askLeader(call);
+            relayToLeader(call);
         }
     });
 }
@@ -217,7 +217,7 @@
 void JobIntake::handleSubmitted(const CallPtr& call, const StoreCommit& commit) {
     switch (commit.m_status) {
         case StoreStatus::OK:
-            m_onWritten(getJobKey(call->m_id), call->m_written);
+            m_onWritten(getJobKey(call->m_id), call->m_encodedRecord);
             answer(call, HTTP_OK, "", "accepted at revision " + std::to_string(commit.m_revision));
             return;
         case StoreStatus::CONFLICT:
@@ -240,10 +240,11 @@
         answerUnavailable(call, "the configuration keeps changing");
         return;
     }
-    // The answer brought the configuration along; read again it would take a narrow link seconds.
+    // The answer contains the new configuration. Reading it again would take seconds over a narrow
+    // link.
     const StoreItem* const configuration = findItem(commit.m_items, CONFIGURATION_KEY);
     if (configuration != nullptr && configuration->m_revision > call->m_configurationRevision) {
-        m_configuration.learn(*configuration, call->m_submittedAt);
+        m_configuration.applyItem(*configuration, call->m_submittedAt);
         if (m_configuration.getRevision() == configuration->m_revision) {
             call->m_isConfirmed = true;
             route(call);
@@ -259,55 +260,58 @@
 
 bool JobIntake::mayRelay(const Call& call) const {
     return m_settings.m_relays && m_relay != nullptr && m_relay->isUsable() &&
-           !call.m_request.m_isRelayed && call.m_relay == Call::Relay::NOT_ASKED &&
-           getTimeLeft(call) > LEAST_RELAY;
+           !call.m_request.m_isRelayed && call.m_relayState == Call::RelayState::NOT_SENT &&
+           getTimeLeft(call) > MIN_RELAY_TIME;
 }
 
 void JobIntake::relayOr(const CallPtr& call, std::uint32_t status, std::string_view reason) {
-    call->m_own = {status, std::string(reason)};
+    call->m_fallback = {status, std::string(reason)};
     if (mayRelay(*call)) {
-        askLeader(call);
+        relayToLeader(call);
     }
-    settle(call);
+    answerIfDecided(call);
 }
 
-/** Asking twice is safe: a job that was taken is found to be there, and a withdrawal is one. */
-void JobIntake::askLeader(const CallPtr& call) {
-    call->m_relay = Call::Relay::ASKED;
+/**
+ * Relays a request that this gateway may also complete. Handling a request twice is safe: the
+ * second submission finds the accepted job, and cancelling is idempotent.
+ */
+void JobIntake::relayToLeader(const CallPtr& call) {
+    call->m_relayState = Call::RelayState::SENT;
     IntakeRequest request = call->m_request;
     request.m_patience = getTimeLeft(*call);
     m_relay->relay(request, request.m_patience,
                    [this, call](const std::optional<IntakeAnswer>& relayed) {
-                       call->m_relay = Call::Relay::ENDED;
-                       call->m_relayed = relayed;
-                       settle(call);
+                       call->m_relayState = Call::RelayState::FINISHED;
+                       call->m_leaderAnswer = relayed;
+                       answerIfDecided(call);
                    });
 }
 
-void JobIntake::settle(const CallPtr& call) {
+void JobIntake::answerIfDecided(const CallPtr& call) {
     if (call->m_isAnswered) {
         return;
     }
-    const auto& relayed = call->m_relayed;
+    const auto& relayed = call->m_leaderAnswer;
     if (relayed.has_value() && relayed->m_status == HTTP_OK) {
         answer(call, HTTP_OK, relayed->m_body, "answered by the leader");
         return;
     }
-    if (!call->m_own.has_value() || call->m_relay == Call::Relay::ASKED) {
+    if (!call->m_fallback.has_value() || call->m_relayState == Call::RelayState::SENT) {
         return;
     }
-    const auto& [status, reason] = *call->m_own;
-    if (call->m_relay == Call::Relay::NOT_ASKED) {
+    const auto& [status, reason] = *call->m_fallback;
+    if (call->m_relayState == Call::RelayState::NOT_SENT) {
         answer(call, status, "", reason);
     } else if (!relayed.has_value()) {
-        // The other gateway may have taken it and died.
+        // The leader may have accepted the job and died before it answered.
         const bool mayRun = call->m_request.m_method == "POST";
         answer(call, mayRun ? HTTP_TIMEOUT : status, "",
                reason + "; the leader did not answer either");
     } else if (status == HTTP_TIMEOUT && relayed->m_status != HTTP_GONE) {
-        // An own write may have taken effect, or may yet: whatever the leader refuses it for now (a
-        // key that was revoked since, too), the job may run.
-        answer(call, status, "", reason + "; the leader refused it");
+        // A write of this gateway may have taken effect or may still do so. The job may therefore
+        // run, for whatever reason the leader refuses it now (a key revoked since, for example).
+        answer(call, status, "", reason + "; the leader refused the request");
     } else {
         answer(call, relayed->m_status, relayed->m_body, "answered by the leader");
     }
@@ -316,7 +320,7 @@
 void JobIntake::answer(const CallPtr& call, std::uint32_t status, std::string body,
                        std::string_view reason) {
     if (std::exchange(call->m_isAnswered, true)) {
-        // The leader was quicker.
+        // The other of the two paths, this gateway or the leader, was faster.
         return;
     }
     IntakeAnswer answer;
@@ -326,10 +330,11 @@
     const QueuePolicy policy =
             isRouted ? call->m_policy : call->m_likelyPolicy.value_or(QueuePolicy());
     if (status == HTTP_UNAVAILABLE) {
-        // Who comes back first needs no confirmed configuration: in an outage there is none.
+        // During an outage no configuration can be confirmed; the local one suffices to determine
+        // who is urgent.
         const bool isUrgent = !policy.m_queue.empty() && policy.m_priority == 0;
         const RefusedCaller caller{call->m_id, isUrgent, getTimeLeft(*call)};
-        answer.m_retryAfter = m_retryAfterPolicy.advise(caller, m_loop.now());
+        answer.m_retryAfter = m_retryAfterPolicy.getRetryDelay(caller, m_loop.now());
     }
     answer.m_reason = reason;
     const auto age = m_configuration.getAge();
--- a/libs/control/src/JobIntakeCall.h
+++ b/libs/control/src/JobIntakeCall.h
@@ -9,41 +9,42 @@
 
 namespace pierbank {
 
-/** One request on its way through the intake. */
+/** State of one request until its answer. */
 struct JobIntake::Call {
     IntakeRequest m_request;
     AnswerCallback m_done;
     Millis m_startedAt{0};
-    /** Set by route(); before it only what the path seems to name, for the log. */
+    /** Job id. Set by route(); before that, the id that the path ends in, if any, for the log. */
     std::string m_id;
-    /** Set by route(). */
+    /** Queue and organisation of the request; set by route(). */
     QueuePolicy m_policy;
     std::string m_organisation;
-    /** The queue by the configuration at hand, which nothing may have confirmed. */
+    /** Queue according to the local configuration, which may not be confirmed. */
     std::optional<QueuePolicy> m_likelyPolicy;
     StoreRevision m_configurationRevision = 0;
-    /** The leader was asked how old the configuration is. */
+    /** Whether the age of the configuration was queried for this request. */
     bool m_isRefreshed = false;
-    /** The configuration was confirmed by a read sent after the request came. */
+    /** Whether a read sent after the arrival of the request confirmed the configuration. */
     bool m_isConfirmed = false;
-    /** When it last went out. */
+    /** Time of the last write of the job record. */
     Millis m_submittedAt{0};
-    /** The record that goes to the store. */
-    std::string m_written;
+    /** Encoded job record, as written to the store. */
+    std::string m_encodedRecord;
+    /** Writes that conflicted with a change of the configuration. */
     std::uint32_t m_tries = 0;
     bool m_isAnswered = false;
 
-    /** An answer that is given if the leader has no better one. */
+    /** Answer of this gateway, for the case that the leader has no better one. */
     struct Fallback {
         std::uint32_t m_status = 0;
         std::string m_reason;
     };
-    /** What this gateway itself came to; empty while it still tries. */
-    std::optional<Fallback> m_own;
-    enum class Relay : std::uint8_t { NOT_ASKED, ASKED, ENDED };
-    Relay m_relay = Relay::NOT_ASKED;
-    /** The leader's answer; empty when none came in time. */
-    std::optional<IntakeAnswer> m_relayed;
+    /** Empty while this gateway still tries to complete the request itself. */
+    std::optional<Fallback> m_fallback;
+    enum class RelayState : std::uint8_t { NOT_SENT, SENT, FINISHED };
+    RelayState m_relayState = RelayState::NOT_SENT;
+    /** Answer of the leader; empty if none came in time. */
+    std::optional<IntakeAnswer> m_leaderAnswer;
 };
 
 }  // namespace pierbank
--- a/libs/control/src/JobIntakeReads.cpp
+++ b/libs/control/src/JobIntakeReads.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// How the intake tells states, withdraws jobs and counts those that are pending.
+// The part of JobIntake that reads states, cancels jobs and counts pending jobs.
 #include <algorithm>
 #include <utility>
 
@@ -32,34 +32,38 @@
     });
 }
 
-/** A record goes as its job ends; so an absent one is looked for twice, with the run between. */
-void JobIntake::readRecord(const CallPtr& call, bool isSecond) {
-    const std::string key = isSecond ? getRunKey(call->m_id) : getJobKey(call->m_id);
-    m_store.read(key,
-                 [this, call, isSecond, alive = std::weak_ptr(m_isAlive)](const StoreRead& read) {
-                     if (alive.expired()) {
-                         return;
-                     }
-                     if (read.m_status == StoreStatus::NOT_FOUND) {
-                         if (isSecond) {
-                             answer(call, HTTP_GONE, "", "there is no such job");
-                         } else {
-                             readRecord(call, true);
-                         }
-                         return;
-                     }
-                     if (read.m_status != StoreStatus::OK) {
-                         answerUnavailable(call, "the job's state can't be read");
-                         return;
-                     }
-                     const auto run = isSecond ? decodeJobRun(read.m_item.m_value) : std::nullopt;
-                     if (isSecond && !run.has_value()) {
-                         answerUnavailable(call, "the job's state can't be read");
-                         return;
-                     }
-                     const JobPhase phase = run.has_value() ? run->m_phase : JobPhase::PENDING;
-                     answerRead(call, m_codec.writePhase(phase), "read from the store");
-                 });
+/**
+ * Reads the job's record or, with `isRecordAbsent`, the job's run. When a job finishes, its record
+ * is removed and its run remains. If neither run nor record is found, the job may have started or
+ * finished between these two reads, so the run is read once more.
+ */
+void JobIntake::readRecord(const CallPtr& call, bool isRecordAbsent) {
+    const std::string key = isRecordAbsent ? getRunKey(call->m_id) : getJobKey(call->m_id);
+    m_store.read(key, [this, call, isRecordAbsent,
+                       alive = std::weak_ptr(m_isAlive)](const StoreRead& read) {
+        if (alive.expired()) {
+            return;
+        }
+        if (read.m_status == StoreStatus::NOT_FOUND) {
+            if (isRecordAbsent) {
+                answer(call, HTTP_GONE, "", "there is no such job");
+            } else {
+                readRecord(call, true);
+            }
+            return;
+        }
+        if (read.m_status != StoreStatus::OK) {
+            answerUnavailable(call, "the job's state can't be read");
+            return;
+        }
+        const auto run = isRecordAbsent ? decodeJobRun(read.m_item.m_value) : std::nullopt;
+        if (isRecordAbsent && !run.has_value()) {
+            answerUnavailable(call, "the job's state can't be read");
+            return;
+        }
+        const JobPhase phase = run.has_value() ? run->m_phase : JobPhase::PENDING;
+        answerRead(call, m_codec.writePhase(phase), "read from the store");
+    });
 }
 
 void JobIntake::cancel(const CallPtr& call) {
@@ -79,16 +83,16 @@
                          return;
                      }
                      if (run.has_value() && run->isFinished()) {
-                         answer(call, HTTP_OK, "", "the job was over already");
+                         answer(call, HTTP_OK, "", "the job had already finished");
                          return;
                      }
                      cancelRecord(call, run.has_value());
                  });
 }
 
-void JobIntake::cancelRecord(const CallPtr& call, bool isSecond) {
+void JobIntake::cancelRecord(const CallPtr& call, bool hasRun) {
     m_store.read(getJobKey(call->m_id),
-                 [this, call, isSecond, alive = std::weak_ptr(m_isAlive)](const StoreRead& read) {
+                 [this, call, hasRun, alive = std::weak_ptr(m_isAlive)](const StoreRead& read) {
                      if (alive.expired()) {
                          return;
                      }
@@ -96,9 +100,9 @@
                          putCancel(call, read.m_item);
                      } else if (read.m_status != StoreStatus::NOT_FOUND) {
                          answerUnavailable(call, "the job can't be read");
-                     } else if (isSecond) {
-                         // It was there a moment ago: it has just ended.
-                         answer(call, HTTP_OK, "", "the job is over");
+                     } else if (hasRun) {
+                         // The job's run was found just before, so the job has finished since.
+                         answer(call, HTTP_OK, "", "the job has finished");
                      } else {
                          answer(call, HTTP_GONE, "", "there is no such job");
                      }
@@ -109,17 +113,18 @@
     StoreTransaction transaction;
     transaction.m_conditions = {{record.m_key, record.m_revision}};
     transaction.m_puts = {{getCancelKey(call->m_id), call->m_organisation, 0}};
-    CommitRetryPolicy patience;
-    patience.m_limit = std::max(getTimeLeft(*call), Millis(1));
-    CommitResolver::run(m_store, m_loop, std::move(transaction), patience, m_isAlive,
+    CommitRetryPolicy retryPolicy;
+    retryPolicy.m_limit = std::max(getTimeLeft(*call), Millis(1));
+    CommitResolver::run(m_store, m_loop, std::move(transaction), retryPolicy, m_isAlive,
                         [this, call](const StoreCommit& commit) {
                             if (commit.m_status == StoreStatus::OK) {
                                 m_onWritten(getCancelKey(call->m_id), "");
                                 answer(call, HTTP_OK, "", "withdrawn");
                             } else if (commit.m_status == StoreStatus::CONFLICT) {
-                                answer(call, HTTP_OK, "", "the job has just ended");
+                                answer(call, HTTP_OK, "", "the job has just finished");
                             } else if (commit.m_status == StoreStatus::UNKNOWN) {
-                                relayOr(call, HTTP_TIMEOUT, "the store did not say");
+                                relayOr(call, HTTP_TIMEOUT,
+                                        "the store did not confirm the cancellation");
                             } else {
                                 answerUnavailable(call, "the store refused: " + commit.m_reason);
                             }
@@ -127,8 +132,9 @@
 }
 
 /**
- * A read may take long, and what allowed it may not be in force any more when it ends: answered all
- * the same, beside a caller whose call waited for the newer configuration, it showed an older one.
+ * Answers a read if the current configuration still allows the request. A read may take long enough
+ * for the configuration to change. Otherwise the answer would show an older configuration than that
+ * of a concurrent request that waited for the newer one.
  */
 void JobIntake::answerRead(const CallPtr& call, std::string body, std::string_view reason) {
     if (isStillAllowed(*call)) {
@@ -153,7 +159,7 @@
 }
 
 void JobIntake::countPending(const CallPtr& call) {
-    if (m_hasPending && m_loop.now() - m_pendingAt <= m_settings.m_pendingAge) {
+    if (m_hasPending && m_loop.now() - m_pendingCountedAt <= m_settings.m_maxPendingAge) {
         answerRead(call, m_codec.writePending(m_pending[call->m_policy.m_queue]), "counted");
         return;
     }
@@ -163,7 +169,7 @@
     }
 }
 
-/** The leader knows them without a list of all jobs. */
+/** Queries the leader, which has the numbers without listing all jobs, or lists the jobs. */
 void JobIntake::refreshPending() {
     if (m_relay == nullptr || !m_relay->isUsable()) {
         listPending();
@@ -179,13 +185,16 @@
             return;
         }
         m_pending = *pending;
-        m_pendingAt = at;
+        m_pendingCountedAt = at;
         m_hasPending = true;
         finishPending(true);
     });
 }
 
-/** Accepted jobs without a begun run, of both prefixes; a job that begins between is counted. */
+/**
+ * Counts the accepted jobs whose run has not started, except timed jobs, from a list of the jobs
+ * and then a list of the runs.
+ */
 void JobIntake::listPending() {
     const Millis at = m_loop.now();
     m_store.list(JOB_PREFIX, [this, at, alive = std::weak_ptr(m_isAlive)](const StoreList& jobs) {
@@ -218,7 +227,7 @@
                          for (const auto& [id, queue] : queues) {
                              ++m_pending[queue];
                          }
-                         m_pendingAt = at;
+                         m_pendingCountedAt = at;
                          m_hasPending = runs.m_status == StoreStatus::OK;
                          finishPending(m_hasPending);
                      });
--- a/libs/control/src/LeaderLink.cpp
+++ b/libs/control/src/LeaderLink.cpp
@@ -8,34 +8,37 @@
 
 namespace {
 
-/** Time between two questions, unless the leader tells another. */
-constexpr Millis ASK_INTERVAL{500};
-/** The leader answers each question; so long after the next was due it is taken for gone. */
-constexpr Millis ANSWER_PATIENCE{800};
-/** Who asked goes to the store after this time. */
-constexpr Millis ANSWER_TIMEOUT{300};
+/** Time between two queries until the leader sets another interval. */
+constexpr Millis QUERY_INTERVAL{500};
+/**
+ * The leader replies to each query. A leader that sends nothing until this long after the next
+ * query was due is unresponsive.
+ */
+constexpr Millis MAX_REPLY_DELAY{800};
+/** Timeout for the reply to one query; the caller of the query then turns to the store. */
+constexpr Millis QUERY_TIMEOUT{300};
 
 }  // namespace
 
-LeaderLink::LeaderLink(EventLoop& loop, LeadershipCandidacy& bid)
+LeaderLink::LeaderLink(EventLoop& loop, LeadershipCandidacy& candidacy)
         : m_loop(loop),
           m_port(
                   loop, "gateway", [this](const LeaderHello& hello, bool) { handleLeader(hello); },
                   [this](const Frame& frame) { handleFrame(frame); }),
-          m_bid(bid),
-          m_requestInterval(ASK_INTERVAL) {
+          m_bid(candidacy),
+          m_requestInterval(QUERY_INTERVAL) {
     keepAlive();
 }
 
-/** A new leader knows neither how many gateways there are nor how well they could lead. */
+/** Queries at once: a new leader has neither the number of gateways nor their fitness yet. */
 void LeaderLink::handleLeader(const LeaderHello& hello) {
-    m_requestInterval = ASK_INTERVAL;
+    m_requestInterval = QUERY_INTERVAL;
     ask([this](const auto& notice) { applyNotice(notice); });
     m_onLeader(hello.m_epoch);
 }
 
 void LeaderLink::keepAlive() {
-    noteUse();
+    checkLeaderTimeout();
     if (m_port.isLinked()) {
         ask([this](const auto& notice) { applyNotice(notice); });
     }
@@ -54,7 +57,7 @@
     }
 }
 
-void LeaderLink::noteUse() {
+void LeaderLink::checkLeaderTimeout() {
     const bool isNow = isUsable();
     if (std::exchange(m_wasUsable, isNow) && !isNow) {
         m_onLeaderTimeout();
@@ -62,7 +65,7 @@
 }
 
 void LeaderLink::ask(NoticeCallback done) {
-    sendQuestion(false, [done = std::move(done)](const auto& reply, Millis sentAt) {
+    sendQuery(false, [done = std::move(done)](const auto& reply, Millis sentAt) {
         if (!reply.has_value()) {
             done(std::nullopt);
             return;
@@ -72,7 +75,7 @@
 }
 
 void LeaderLink::queryPending(PendingCallback done) {
-    sendQuestion(true, [done = std::move(done)](const auto& reply, Millis) {
+    sendQuery(true, [done = std::move(done)](const auto& reply, Millis) {
         if (!reply.has_value() || !reply->m_knowsPending) {
             done(std::nullopt);
             return;
@@ -85,26 +88,26 @@
     });
 }
 
-void LeaderLink::sendQuestion(bool wantsPending, ReplyCallback done) {
-    const std::uint64_t number = ++m_lastQuestion;
-    m_questions[number] = {m_loop.now(), std::move(done)};
+void LeaderLink::sendQuery(bool wantsPending, ReplyCallback done) {
+    const std::uint64_t number = ++m_lastQueryNumber;
+    m_openQueries[number] = {m_loop.now(), std::move(done)};
     const bool isSent = m_port.send(GatewayQuery{number, m_bid.getFitness(), wantsPending});
-    m_loop.callLater(isSent ? ANSWER_TIMEOUT : Millis(0),
+    m_loop.callLater(isSent ? QUERY_TIMEOUT : Millis(0),
                      [this, number, alive = std::weak_ptr(m_isAlive)] {
                          if (!alive.expired()) {
-                             finishQuestion(number, std::nullopt);
+                             finishQuery(number, std::nullopt);
                          }
                      });
 }
 
-void LeaderLink::finishQuestion(std::uint64_t number, const std::optional<GatewayReply>& reply) {
-    const auto found = m_questions.find(number);
-    if (found == m_questions.end()) {
+void LeaderLink::finishQuery(std::uint64_t number, const std::optional<GatewayReply>& reply) {
+    const auto found = m_openQueries.find(number);
+    if (found == m_openQueries.end()) {
         return;
     }
-    const Question question = std::move(found->second);
-    m_questions.erase(found);
-    question.m_done(reply, question.m_sentAt);
+    const OpenQuery query = std::move(found->second);
+    m_openQueries.erase(found);
+    query.m_done(reply, query.m_sentAt);
 }
 
 void LeaderLink::handleReply(const GatewayReply& reply) {
@@ -112,11 +115,11 @@
     if (reply.m_nextRequestMs != 0) {
         m_requestInterval = Millis(reply.m_nextRequestMs);
     }
-    if (m_questions.count(reply.m_number) != 0) {
-        finishQuestion(reply.m_number, reply);
+    if (m_openQueries.count(reply.m_number) != 0) {
+        finishQuery(reply.m_number, reply);
     } else {
-        // Nobody asked, or not any more: it has no date, and only says that there may be a newer
-        // one.
+        // Unsolicited, or later than the timeout: without the time of a query the notice confirms
+        // nothing, but may report a newer revision.
         m_onNotice({reply.m_revision, Millis(0)});
     }
 }
@@ -131,16 +134,16 @@
 }
 
 bool LeaderLink::isUsable() const {
-    return m_port.isLinked() && m_port.getIdleTime() <= m_requestInterval + ANSWER_PATIENCE;
+    return m_port.isLinked() && m_port.getIdleTime() <= m_requestInterval + MAX_REPLY_DELAY;
 }
 
-void LeaderLink::relay(RelayedRequest request, Millis patience, AnswerCallback done) {
-    const std::uint64_t number = m_nextRelay++;
+void LeaderLink::relay(RelayedRequest request, Millis timeout, AnswerCallback done) {
+    const std::uint64_t number = m_nextRelayNumber++;
     request.m_number = number;
-    m_relayed[number] = std::move(done);
+    m_openRelays[number] = std::move(done);
     const bool isSent = m_port.send(request);
-    // A request that could not be sent fails on the next turn, any other when its time is over.
-    m_loop.callLater(isSent ? patience : Millis(0),
+    // A request that could not be sent fails on the next turn of the loop, others by timeout.
+    m_loop.callLater(isSent ? timeout : Millis(0),
                      [this, number, alive = std::weak_ptr(m_isAlive)] {
                          if (!alive.expired()) {
                              finishRelay(number, RelayedAnswer());
@@ -149,12 +152,12 @@
 }
 
 void LeaderLink::finishRelay(std::uint64_t number, const RelayedAnswer& answer) {
-    const auto found = m_relayed.find(number);
-    if (found == m_relayed.end()) {
+    const auto found = m_openRelays.find(number);
+    if (found == m_openRelays.end()) {
         return;
     }
     const AnswerCallback done = std::move(found->second);
-    m_relayed.erase(found);
+    m_openRelays.erase(found);
     done(answer);
 }
 
--- a/libs/control/src/LeaderLock.cpp
+++ b/libs/control/src/LeaderLock.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-/** Pause after a call that failed. */
-constexpr Millis RETRY_PAUSE{200};
-/** The same while the leader is heard of: then nothing hangs on it. */
-constexpr Millis LED_RETRY_PAUSE{1500};
+/** Delay before a failed read or acquisition is retried. */
+constexpr Millis RETRY_DELAY{200};
+/** Delay while the leader is reachable over its link; reading the key is then not urgent. */
+constexpr Millis LINKED_RETRY_DELAY{1500};
 
 }  // namespace
 
@@ -32,35 +32,35 @@
 }
 
 void LeaderLock::start() {
-    look();
+    readKey();
 }
 
-void LeaderLock::pollLater(Millis pause) {
-    m_loop.callLater(pause, [this, look = std::weak_ptr(m_poll)] {
-        if (!look.expired()) {
-            this->look();
+void LeaderLock::pollLater(Millis delay) {
+    m_loop.callLater(delay, [this, poll = std::weak_ptr(m_poll)] {
+        if (!poll.expired()) {
+            readKey();
         }
     });
 }
 
-Millis LeaderLock::getRetryPause() const {
-    return m_hasLeader() ? LED_RETRY_PAUSE : RETRY_PAUSE;
+Millis LeaderLock::getRetryDelay() const {
+    return m_hasLeader() ? LINKED_RETRY_DELAY : RETRY_DELAY;
 }
 
-void LeaderLock::pollWithin(Millis pause) {
+void LeaderLock::pollWithin(Millis delay) {
     if (!m_isReleased && !isHeld()) {
-        pollLater(pause);
+        pollLater(delay);
     }
 }
 
-void LeaderLock::look() {
-    const bool isBidding = m_isAcquiring || m_bidTimer != TimerId::NONE;
-    if (m_isReleased || isHeld() || isBidding) {
+void LeaderLock::readKey() {
+    const bool isCandidate = m_isAcquiring || m_electionTimer != TimerId::NONE;
+    if (m_isReleased || isHeld() || isCandidate) {
         return;
     }
     m_poll = std::make_shared<bool>(true);
-    m_store.read(LEADER_KEY, [this, look = std::weak_ptr(m_poll)](const StoreRead& read) {
-        if (!look.expired()) {
+    m_store.read(LEADER_KEY, [this, poll = std::weak_ptr(m_poll)](const StoreRead& read) {
+        if (!poll.expired()) {
             handlePoll(read);
         }
     });
@@ -69,12 +69,12 @@
 void LeaderLock::handlePoll(const StoreRead& read) {
     if (read.m_status == StoreStatus::OK) {
         updateLeader(read.m_item.m_value);
-        follow(std::max(read.m_at, read.m_item.m_revision));
+        watchKey(std::max(read.m_at, read.m_item.m_revision));
     } else if (read.m_status == StoreStatus::NOT_FOUND) {
-        bid();
+        startCandidacy();
     } else {
         m_onUnanswered();
-        pollLater(getRetryPause());
+        pollLater(getRetryDelay());
     }
 }
 
@@ -82,56 +82,57 @@
     m_leader = Address::parse(std::string(value.substr(0, value.find('#'))));
 }
 
-/** Watches the key from a revision on, so that nothing between two watches is missed. */
-void LeaderLock::follow(StoreRevision after) {
-    const Millis wait = m_hasLeader() ? m_settings.m_ledWatchWait : m_settings.m_watchWait;
-    m_store.watch(LEADER_KEY, after, wait,
-                  [this, look = std::weak_ptr(m_poll)](const StoreChanges& changes) {
-                      if (!look.expired()) {
+/** Watches the key from a given revision on, so that no change between two watches is missed. */
+void LeaderLock::watchKey(StoreRevision after) {
+    const Millis timeout =
+            m_hasLeader() ? m_settings.m_linkedWatchTimeout : m_settings.m_watchTimeout;
+    m_store.watch(LEADER_KEY, after, timeout,
+                  [this, poll = std::weak_ptr(m_poll)](const StoreChanges& changes) {
+                      if (!poll.expired()) {
                           handleChanges(changes);
                       }
                   });
 }
 
 /**
- * A watch that ended without an event may have been deaf. While the leader is heard of over its
- * link that does not matter, and the key isn't read again: hundreds of gateways would.
+ * A watch that ended without an event may have missed a change, so the key is read again. While the
+ * leader is reachable over its link, this read is omitted: hundreds of gateways would send one.
  */
 void LeaderLock::handleChanges(const StoreChanges& changes) {
     if (changes.m_status != StoreStatus::OK) {
-        pollLater(getRetryPause());
+        pollLater(getRetryDelay());
         return;
     }
     if (changes.m_events.empty() && !m_hasLeader()) {
-        look();
+        readKey();
         return;
     }
     for (const StoreEvent& event : changes.m_events) {
         if (event.m_isDeleted) {
-            bid();
+            startCandidacy();
         } else {
-            cancelBid();
+            cancelCandidacy();
             updateLeader(event.m_item.m_value);
         }
     }
-    follow(changes.m_at);
+    watchKey(changes.m_at);
 }
 
-void LeaderLock::bid() {
-    if (m_bidTimer != TimerId::NONE || m_isAcquiring || isHeld() || m_isReleased) {
+void LeaderLock::startCandidacy() {
+    if (m_electionTimer != TimerId::NONE || m_isAcquiring || isHeld() || m_isReleased) {
         return;
     }
-    m_bidTimer = m_loop.callLater(m_getElectionDelay(), guarded([this] {
-                                      m_bidTimer = TimerId::NONE;
-                                      acquire();
-                                  }));
+    m_electionTimer = m_loop.callLater(m_getElectionDelay(), guarded([this] {
+                                           m_electionTimer = TimerId::NONE;
+                                           acquireLease();
+                                       }));
 }
 
-void LeaderLock::cancelBid() {
-    m_loop.cancel(std::exchange(m_bidTimer, TimerId::NONE));
+void LeaderLock::cancelCandidacy() {
+    m_loop.cancel(std::exchange(m_electionTimer, TimerId::NONE));
 }
 
-void LeaderLock::acquire() {
+void LeaderLock::acquireLease() {
     if (m_isReleased || isHeld()) {
         return;
     }
@@ -144,39 +145,39 @@
         }
         if (reply.m_status != StoreStatus::OK || m_isReleased) {
             m_isAcquiring = false;
-            pollLater(RETRY_PAUSE);
+            pollLater(RETRY_DELAY);
             return;
         }
-        take(reply.m_lease, sentAt);
+        writeKey(reply.m_lease, sentAt);
     });
 }
 
-void LeaderLock::take(StoreLease lease, Millis sentAt) {
+void LeaderLock::writeKey(StoreLease lease, Millis sentAt) {
     StoreTransaction transaction;
     transaction.m_conditions = {{std::string(LEADER_KEY), 0}};
     transaction.m_puts = {{std::string(LEADER_KEY),
                            m_settings.m_operators.toText() + "#" + m_settings.m_node + "#" +
                                    std::to_string(lease),
                            lease}};
-    CommitRetryPolicy patience;
-    patience.m_limit = m_settings.m_timeToLive;
+    CommitRetryPolicy retryPolicy;
+    retryPolicy.m_limit = m_settings.m_timeToLive;
     CommitResolver::run(
-            m_store, m_loop, std::move(transaction), patience, m_isAlive,
+            m_store, m_loop, std::move(transaction), retryPolicy, m_isAlive,
             [this, lease, sentAt](const StoreCommit& commit) {
                 m_isAcquiring = false;
                 if (commit.m_status != StoreStatus::OK || m_isReleased) {
                     m_store.endLease(lease);
-                    pollLater(RETRY_PAUSE);
+                    pollLater(RETRY_DELAY);
                     return;
                 }
                 m_poll.reset();
-                cancelBid();
+                cancelCandidacy();
                 m_epoch = commit.m_revision;
                 m_lease = lease;
                 m_confirmedAt = sentAt;
                 logEvent(Severity::INFO, "leader", "acquired",
                          {{"epoch", std::to_string(m_epoch)}, {"node", m_settings.m_node}});
-                m_loop.callLater(m_settings.m_renewInterval, guarded([this] { renew(); }));
+                m_loop.callLater(m_settings.m_renewalInterval, guarded([this] { renew(); }));
                 m_onAcquired(m_epoch);
             });
 }
@@ -185,8 +186,8 @@
     if (!isHeld()) {
         return;
     }
-    // Not after the answer: a lost one must not cost the lease.
-    m_loop.callLater(m_settings.m_renewInterval, guarded([this] { renew(); }));
+    // Scheduled before the answer arrives, so that a lost answer does not cost the lease.
+    m_loop.callLater(m_settings.m_renewalInterval, guarded([this] { renew(); }));
     const Millis sentAt = m_loop.now();
     m_store.renewLease(m_lease, [this, sentAt, lease = m_lease,
                                  alive = std::weak_ptr(m_isAlive)](const StoreLeaseReply& reply) {
@@ -194,7 +195,7 @@
             return;
         }
         if (reply.m_status == StoreStatus::NOT_FOUND) {
-            lose("the lease has lapsed");
+            endLeadership("the lease has lapsed");
             return;
         }
         if (reply.m_status == StoreStatus::OK) {
@@ -203,13 +204,13 @@
     });
 }
 
-void LeaderLock::lose(std::string_view why) {
+void LeaderLock::endLeadership(std::string_view reason) {
     logEvent(Severity::WARNING, "leader", "lost",
-             {{"epoch", std::to_string(m_epoch)}, {"reason", std::string(why)}});
+             {{"epoch", std::to_string(m_epoch)}, {"reason", std::string(reason)}});
     m_epoch = 0;
     m_lease = 0;
     m_onLost();
-    look();
+    readKey();
 }
 
 void LeaderLock::abandon() {
@@ -217,12 +218,12 @@
         return;
     }
     m_store.endLease(m_lease);
-    lose("abandoned");
+    endLeadership("abandoned");
 }
 
 void LeaderLock::release() {
     m_isReleased = true;
-    cancelBid();
+    cancelCandidacy();
     if (!isHeld()) {
         return;
     }
--- a/libs/control/src/LeaderPort.cpp
+++ b/libs/control/src/LeaderPort.cpp
@@ -37,7 +37,7 @@
         return;
     }
     if (const auto* const hello = std::get_if<LeaderHello>(&frame)) {
-        adopt(link, *hello);
+        acceptLeader(link, *hello);
     } else if (link == m_leader) {
         m_lastReceivedAt = m_loop.now();
         m_onFrame(frame);
@@ -54,7 +54,7 @@
     }
 }
 
-void LeaderPort::adopt(const std::shared_ptr<Link>& link, const LeaderHello& hello) {
+void LeaderPort::acceptLeader(const std::shared_ptr<Link>& link, const LeaderHello& hello) {
     std::erase(m_newLinks, link);
     if (hello.m_epoch < m_epoch) {
         logEvent(Severity::WARNING, m_component, "old-leader-refused",
@@ -80,14 +80,14 @@
     return m_leader != nullptr && m_leader->send(frame);
 }
 
-void LeaderPort::drop(std::string_view why) {
+void LeaderPort::drop(std::string_view reason) {
     if (m_leader == nullptr) {
         return;
     }
     m_leader->close();
     m_leader.reset();
     logEvent(Severity::WARNING, m_component, "leader-link-dropped",
-             {{"epoch", std::to_string(m_epoch)}, {"reason", std::string(why)}});
+             {{"epoch", std::to_string(m_epoch)}, {"reason", std::string(reason)}});
 }
 
 }  // namespace pierbank
--- a/libs/control/src/RetryAfterPolicy.cpp
+++ b/libs/control/src/RetryAfterPolicy.cpp
@@ -16,38 +16,41 @@
     if (!m_lostAt.has_value()) {
         return;
     }
-    constexpr int MEMORY = 4;
-    const Millis lasted = now - *m_lostAt;
-    m_typicalOutage = m_typicalOutage.has_value()
-                              ? (*m_typicalOutage * (MEMORY - 1) + lasted) / MEMORY
-                              : lasted;
+    constexpr int WINDOW = 4;
+    const Millis duration = now - *m_lostAt;
+    m_meanOutage = m_meanOutage.has_value() ? (*m_meanOutage * (WINDOW - 1) + duration) / WINDOW
+                                            : duration;
     m_lostAt.reset();
 }
 
-/** Past its usual length an outage is taken to last half its age more. */
-Millis RetryAfterPolicy::expectRemaining(Millis now) const {
+/**
+ * Expects the outage to last as long as the mean of the earlier ones, or for another half of its
+ * age if it has already lasted longer.
+ */
+Millis RetryAfterPolicy::estimateRemaining(Millis now) const {
     if (!m_lostAt.has_value()) {
         return Millis(0);
     }
     const Millis age = now - *m_lostAt;
-    const Millis usual = m_typicalOutage.value_or(Millis(0)) - age;
-    return usual > Millis(0) ? usual : age / 2;
+    const Millis expected = m_meanOutage.value_or(Millis(0)) - age;
+    return expected > Millis(0) ? expected : age / 2;
 }
 
-Millis RetryAfterPolicy::advise(const RefusedCaller& caller, Millis now) const {
-    Millis base = std::clamp(expectRemaining(now), m_settings.m_least, m_settings.m_most);
+Millis RetryAfterPolicy::getRetryDelay(const RefusedCaller& caller, Millis now) const {
+    Millis delay = std::clamp(estimateRemaining(now), m_settings.m_minDelay, m_settings.m_maxDelay);
     if (caller.m_timeLeft > Millis(0)) {
-        // Who is told a time beyond its own gives up, though the store may be back before.
-        base = std::min(base, std::max(caller.m_timeLeft / 2, m_settings.m_least));
+        // A caller whose deadline is before the retry would give up, although the store may return
+        // earlier.
+        delay = std::min(delay, std::max(caller.m_timeLeft / 2, m_settings.m_minDelay));
     }
     if (caller.m_isUrgent) {
-        return base;
+        return delay;
     }
     constexpr std::size_t STEPS = 1000;
     const std::size_t step = std::hash<std::string_view>()(caller.m_id) % STEPS;
-    const double share = m_settings.m_spread * static_cast<double>(step) / STEPS;
-    const auto later = static_cast<double>(base.count()) * (1.0 + share);
-    return Millis(static_cast<std::int64_t>(later));
+    const double share = m_settings.m_maxSpreadShare * static_cast<double>(step) / STEPS;
+    const auto total = static_cast<double>(delay.count()) * (1.0 + share);
+    return Millis(static_cast<std::int64_t>(total));
 }
 
 }  // namespace pierbank
