--- a/bench/fleet/main.cpp
+++ b/bench/fleet/main.cpp
@@ -49,21 +49,21 @@
 
 void heartbeat(Host& host) {
     WorkerHeartbeat heartbeat;
-    heartbeat.m_incarnation = host.m_worker->getLife();
+    heartbeat.m_incarnation = host.m_worker->getIncarnation();
     heartbeat.m_service = "tasks";
     heartbeat.m_rack = host.m_rack;
     heartbeat.m_labels = {"a", host.m_rack};
     heartbeat.m_capacity = {128'000, 262'144, 8};
     heartbeat.m_failureDomain = host.m_domain;
-    heartbeat.m_sequence = host.m_worker->countBeat();
+    heartbeat.m_sequence = host.m_worker->countHeartbeat();
     host.m_agent->handleHeartbeat(heartbeat);
 }
 
-void keepBeating(EventLoop& loop, std::vector<Host>& hosts) {
+void keepSendingHeartbeats(EventLoop& loop, std::vector<Host>& hosts) {
     for (Host& host : hosts) {
         heartbeat(host);
     }
-    loop.callLater(BEAT_INTERVAL, [&loop, &hosts] { keepBeating(loop, hosts); });
+    loop.callLater(BEAT_INTERVAL, [&loop, &hosts] { keepSendingHeartbeats(loop, hosts); });
 }
 
 /** @return false with `reason` when an address is not free. */
@@ -114,7 +114,7 @@
             return EXIT_USAGE;
         }
     }
-    keepBeating(loop, hosts);
+    keepSendingHeartbeats(loop, hosts);
     loop.onSignal(SIGTERM, [&loop] { loop.quit(); });
     loop.run();
     return 0;
--- a/bench/replay/Replay.cpp
+++ b/bench/replay/Replay.cpp
@@ -218,7 +218,7 @@
             LiveJob& job = m_jobs.at(placement.m_task.m_job);
             const bool isFirst = started.insert(placement.m_task.m_job).second;
             const std::uint32_t number =
-                    isFirst ? getNextRun(job.getRecord(), job.m_run, placement.m_task)
+                    isFirst ? getNextRunNumber(job.getRecord(), job.m_run, placement.m_task)
                             : job.listHeld().front().m_run;
             applyPlacement(job.m_run, placement.m_task, number, placement.m_worker, m_now);
         }
@@ -266,10 +266,10 @@
         m_events.push({m_now + (fails ? std::min(FAILS_AFTER, left) : left),
                        fails ? EventKind::FAILURE : EventKind::END, job.getRecord().m_id,
                        job.m_attempt});
-        noteStart(job);
+        recordRunStart(job);
     }
 
-    void noteStart(const LiveJob& job) {
+    void recordRunStart(const LiveJob& job) {
         if (!m_started.insert(job.getRecord().m_id).second) {
             return;
         }
--- a/fuzz/DecodersFuzz.cpp
+++ b/fuzz/DecodersFuzz.cpp
@@ -43,7 +43,7 @@
 /** A beat is read whole or not at all. */
 void checkBeat(std::string_view bytes, const pierbank::DocumentCodec& documents) {
     pierbank::Findings findings;
-    const auto heartbeat = documents.readBeat("life", bytes, findings);
+    const auto heartbeat = documents.readHeartbeat("life", bytes, findings);
     require(heartbeat.has_value() == findings.isEmpty());
     require(!heartbeat.has_value() || !heartbeat->m_service.empty());
 }
--- a/libs/base/include/pierbank/base/UnreadableInputs.h
+++ b/libs/base/include/pierbank/base/UnreadableInputs.h
@@ -16,8 +16,8 @@
  * @param component,event as in logEvent(); together they name the kind.
  * @param fields which entry, and why; the count is added.
  */
-void noteUnreadable(std::string_view component, std::string_view event,
-                    std::initializer_list<LogField> fields);
+void reportUnreadable(std::string_view component, std::string_view event,
+                      std::initializer_list<LogField> fields);
 
 /** Of all kinds, since this process began. */
 std::uint64_t countUnreadable();
--- a/libs/base/src/UnreadableInputs.cpp
+++ b/libs/base/src/UnreadableInputs.cpp
@@ -18,8 +18,8 @@
 
 }  // namespace
 
-void noteUnreadable(std::string_view component, std::string_view event,
-                    std::initializer_list<LogField> fields) {
+void reportUnreadable(std::string_view component, std::string_view event,
+                      std::initializer_list<LogField> fields) {
     const std::uint64_t count = ++getCounts()[std::string(component) + " " + std::string(event)];
     if (count > TOLD_EACH && !std::has_single_bit(count)) {
         return;
--- a/libs/base/test/UnreadableInputsTest.cpp
+++ b/libs/base/test/UnreadableInputsTest.cpp
@@ -11,7 +11,7 @@
     const std::uint64_t before = countUnreadable();
     ::testing::internal::CaptureStdout();
     for (int i = 0; i < 1000; ++i) {
-        noteUnreadable("test", "unreadable", {{"key", std::to_string(i)}});
+        reportUnreadable("test", "unreadable", {{"key", std::to_string(i)}});
     }
     const std::string log = ::testing::internal::GetCapturedStdout();
     EXPECT_EQ(countUnreadable() - before, 1000U);
--- a/libs/control/include/pierbank/control/Advisor.h
+++ b/libs/control/include/pierbank/control/Advisor.h
@@ -22,7 +22,7 @@
      * False if the query was refused or no complete answer arrived. The query may be repeated
      * later.
      */
-    bool m_isGood = false;
+    bool m_isComplete = false;
     /** The queried workers that may run the step; the others may not. */
     std::vector<AdvisedWorker> m_workers;
     /** Reason for the failure. */
--- a/libs/control/include/pierbank/control/CommitResolver.h
+++ b/libs/control/include/pierbank/control/CommitResolver.h
@@ -13,7 +13,7 @@
 /** Limits how often a CommitResolver retries. */
 struct CommitRetryPolicy {
     /** Time after which the outcome may remain unknown; zero: retry until the outcome is known. */
-    Millis m_limit{0};
+    Millis m_timeLimit{0};
     /** Whether a refused transaction is retried within the limit. */
     bool m_retriesRefusals = false;
 };
--- a/libs/control/include/pierbank/control/ConfigurationFeed.h
+++ b/libs/control/include/pierbank/control/ConfigurationFeed.h
@@ -64,7 +64,8 @@
     /**
      * Requests a notice. `done` is called once, with an empty value if no answer came in time.
      */
-    virtual void ask(std::function<void(const std::optional<ConfigurationNotice>&)> done) = 0;
+    virtual void requestNotice(
+            std::function<void(const std::optional<ConfigurationNotice>&)> done) = 0;
 };
 
 /**
@@ -114,7 +115,7 @@
     }
 
     /** Returns whether the last confirming read failed. */
-    bool isLost() const noexcept { return m_isLost; }
+    bool isStoreLost() const noexcept { return m_isLost; }
     /**
      * Returns whether the last confirming read failed other than by a quick refusal. A request that
      * waited for one more read would wait in vain.
--- a/libs/control/include/pierbank/control/Documents.h
+++ b/libs/control/include/pierbank/control/Documents.h
@@ -25,7 +25,7 @@
     /** Minimum time that a draining worker remains available. */
     Millis m_remaining{0};
     /** Time until the worker is warmed up, after its start or after a period without work. */
-    Millis m_coldLeft{0};
+    Millis m_warmUpRemaining{0};
     /** Grows with each heartbeat of an incarnation; a heartbeat with a lower number is late. */
     std::uint64_t m_sequence = 0;
 };
@@ -37,7 +37,7 @@
     /** Time within which the wave has to be finished, from the request on. */
     Millis m_duration{0};
     /** Maximum number of machines that are down for the wave at the same time. */
-    std::size_t m_cap = 1;
+    std::size_t m_maxMachinesDown = 1;
 };
 
 /**
@@ -54,13 +54,14 @@
     /** Reads a submitted job. */
     virtual std::optional<JobSpec> readJob(std::string_view bytes, Findings& findings) const = 0;
     /** Reads a heartbeat. @param id names the worker; the body contains its start time. */
-    virtual std::optional<WorkerHeartbeat> readBeat(std::string_view id, std::string_view bytes,
-                                                    Findings& findings) const = 0;
+    virtual std::optional<WorkerHeartbeat> readHeartbeat(std::string_view id,
+                                                         std::string_view bytes,
+                                                         Findings& findings) const = 0;
     /**
      * Reads the message that a worker sends as it exits. An unreadable body yields an incarnation
      * without a start time.
      */
-    virtual WorkerIncarnation readLeave(std::string_view id, std::string_view bytes) const = 0;
+    virtual WorkerIncarnation readDeparture(std::string_view id, std::string_view bytes) const = 0;
     virtual std::optional<WaveSpec> readWave(std::string_view bytes, Findings& findings) const = 0;
     /** Writes the status of a wave, for the platform. */
     virtual std::string writeWaveStatus(bool isDone) const = 0;
--- a/libs/control/include/pierbank/control/EvacuationFeed.h
+++ b/libs/control/include/pierbank/control/EvacuationFeed.h
@@ -19,7 +19,7 @@
      * Time after the acknowledgement of an evacuation from which on nothing starts in the failure
      * domain. Required by the platform's contract.
      */
-    Millis m_bound{5000};
+    Millis m_maxEnforcementDelay{5000};
     /** Time between two polls. The polls make up 2 to 3 percent of all calls of the store. */
     Millis m_interval{500};
 };
@@ -45,7 +45,7 @@
     EvacuationFeed(const EvacuationFeed&) = delete;
     EvacuationFeed& operator=(const EvacuationFeed&) = delete;
 
-    /** Sets the callback for a changed list, and for isCertain() becoming true again. */
+    /** Sets the callback for a changed list, and for isUpToDate() becoming true again. */
     void onChange(std::function<void()> callback) { m_onChange = std::move(callback); }
 
     /** Starts polling; the list is empty and not certain until the first poll succeeds. */
@@ -55,10 +55,10 @@
 
     /**
      * Returns whether the list is recent enough to place work by. The list may be as old as three
-     * fifths of m_bound. The rest is left for a decision under way: its commit, and the order to
-     * the worker.
+     * fifths of m_maxEnforcementDelay. The rest is left for a decision under way: its commit, and
+     * the order to the worker.
      */
-    bool isCertain() const;
+    bool isUpToDate() const;
     /** Returns the result of the last successful poll. */
     const Domains& getDomains() const noexcept { return m_domains; }
 
--- a/libs/control/include/pierbank/control/JobController.h
+++ b/libs/control/include/pierbank/control/JobController.h
@@ -41,7 +41,8 @@
     /**
      * Time from learning of an evacuation until the runs in its failure domain that have not
      * started are revoked. Orders that are already in flight normally start within milliseconds. A
-     * further fifth of EvacuationFeedSettings::m_bound remains for delivering the revocations.
+     * further fifth of EvacuationFeedSettings::m_maxEnforcementDelay remains for delivering the
+     * revocations.
      */
     Millis m_startTimeout{1000};
     /**
@@ -149,7 +150,7 @@
     /** Duration of planning. */
     LatencySummary m_planTime;
     /** Time from acceptance to the first placement, of jobs that are not timed. */
-    LatencySummary m_untilPlaced;
+    LatencySummary m_timeToFirstPlacement;
 };
 
 /**
@@ -209,7 +210,7 @@
      * Returns why a plan made now would leave a job in its state; empty if the plan gives no
      * explanation for the job.
      */
-    std::string getNote(const std::string& job) const;
+    std::string getExplanation(const std::string& job) const;
     /**
      * Returns the observed duration of work on an incarnation of a worker, relative to an average
      * worker.
@@ -223,7 +224,7 @@
      */
     std::optional<Millis> getColdUntil(const std::string& host) const;
     /** Returns the plan that would result if the job were submitted now, without applying it. */
-    TaskPlan tryPlan(const JobRecord& record) const;
+    TaskPlan makeTrialPlan(const JobRecord& record) const;
     /** Returns the counters and latencies, which a change of leadership does not reset. */
     const JobStatistics& getStatistics() const noexcept { return m_statistics; }
     /** Returns the weight, 0 to 100, that plans use: the last one set by an operator's statement.
@@ -256,7 +257,7 @@
     void handleHostLost(const std::string& host) override;
     void handleHostExpired(const std::string& host) override;
     void handleInputNotice(const InputNotice& notice) override;
-    void handleRelayed(const std::string& host, const RelayedRequest& request) override;
+    void handleRelayedRequest(const std::string& host, const RelayedRequest& request) override;
     void handleGatewayQuery(const std::string& host, const GatewayQuery& query) override;
 
 private:
--- a/libs/control/include/pierbank/control/JobCore.h
+++ b/libs/control/include/pierbank/control/JobCore.h
@@ -27,7 +27,7 @@
     WorkerPoolSettings m_workers;
     JobControllerSettings m_jobs;
     WaveControllerSettings m_waves;
-    LeadershipCandidacySettings m_bid;
+    LeadershipCandidacySettings m_candidacy;
     /** Address on which this gateway accepts the leader's link. */
     Address m_links;
 };
@@ -73,8 +73,9 @@
 
     // IntakeRelay and ConfigurationSource, usable while another gateway leads and is reachable
     bool isUsable() const override;
-    void ask(std::function<void(const std::optional<ConfigurationNotice>&)> done) override {
-        m_leaderLink.ask(std::move(done));
+    void requestNotice(
+            std::function<void(const std::optional<ConfigurationNotice>&)> done) override {
+        m_leaderLink.queryConfiguration(std::move(done));
     }
     void relay(const IntakeRequest& request, Millis timeout,
                std::function<void(const std::optional<IntakeAnswer>&)> done) override;
@@ -90,7 +91,7 @@
     const Address m_linkAddress;
     ConfigurationFeed m_configuration;
     JobIntake m_intake;
-    LeadershipCandidacy m_bid;
+    LeadershipCandidacy m_candidacy;
     LeaderLock m_lock;
     JobController m_jobs;
     WaveController m_waves;
--- a/libs/control/include/pierbank/control/JobIntake.h
+++ b/libs/control/include/pierbank/control/JobIntake.h
@@ -29,7 +29,7 @@
     std::string m_key;
     std::string m_body;
     /** The caller's timeout for the answer. */
-    Millis m_patience{3000};
+    Millis m_timeout{3000};
     /** Whether another gateway relayed this request; then it is not relayed again. */
     bool m_isRelayed = false;
 };
@@ -68,12 +68,12 @@
      */
     Millis m_hedgeDelay{400};
     /** Whether slow submissions are also relayed to the leader after m_hedgeDelay. */
-    bool m_hedges = true;
+    bool m_hedgesSubmissions = true;
     /**
      * Whether requests that this gateway can't complete are relayed to the leader. This
      * clearly improves the service of a small fleet during faults.
      */
-    bool m_relays = true;
+    bool m_relaysRequests = true;
     /**
      * Part of the caller's timeout that is reserved for delivering the answer, which takes 1 to 3
      * ms. With 300 ms reserved by both gateways, the last retries before the caller's deadline were
@@ -132,7 +132,7 @@
     void setRelay(IntakeRelay& relay) { m_relay = &relay; }
 
     /** Records that the store has become unreachable for this gateway, or reachable again. */
-    void noteReach(bool isReached);
+    void recordReachability(bool isReached);
 
     /** Handles a request; `done` is called once. */
     void handle(IntakeRequest request, AnswerCallback done);
--- a/libs/control/include/pierbank/control/LeaderLink.h
+++ b/libs/control/include/pierbank/control/LeaderLink.h
@@ -51,7 +51,7 @@
 
     /**
      * Sets the callback for the leader's notices about the configuration, apart from those passed
-     * to a callback of ask().
+     * to a callback of queryConfiguration().
      */
     void onNotice(std::function<void(const ConfigurationNotice&)> callback) {
         m_onNotice = std::move(callback);
@@ -69,7 +69,7 @@
      * Queries the age of the leader's configuration. `done` is called once, with an empty value if
      * no answer arrived in time.
      */
-    void ask(NoticeCallback done);
+    void queryConfiguration(NoticeCallback done);
     /**
      * Queries the number of pending jobs by queue. `done` is called once, with an empty value if no
      * answer arrived in time or the leader does not have the numbers.
@@ -106,7 +106,7 @@
     };
     std::function<void(const ConfigurationNotice&)> m_onNotice = [](const ConfigurationNotice&) {
     };
-    LeadershipCandidacy& m_bid;
+    LeadershipCandidacy& m_candidacy;
     struct OpenQuery {
         Millis m_sentAt{0};
         ReplyCallback m_done;
--- a/libs/control/include/pierbank/control/LeaderLock.h
+++ b/libs/control/include/pierbank/control/LeaderLock.h
@@ -18,7 +18,7 @@
     /** Name of this gateway; part of the leader key's value. */
     std::string m_node;
     /** Address at which this gateway accepts operators' statements; part of the key's value. */
-    Address m_operators;
+    Address m_statementAddress;
     /**
      * Requested duration of the leader lease, after which a dead leader is replaced. The store may
      * enforce a minimum duration.
@@ -65,7 +65,7 @@
     /** Sets the predicate that tells whether the leader is reachable over its link. */
     void setLeaderProbe(std::function<bool()> hasLeader) { m_hasLeader = std::move(hasLeader); }
     /** Sets the callback for a read of the key that failed. */
-    void onUnanswered(std::function<void()> callback) { m_onUnanswered = std::move(callback); }
+    void onReadFailed(std::function<void()> callback) { m_onUnanswered = std::move(callback); }
 
     /** Starts to watch the key, and to acquire it whenever it is free. */
     void start();
--- a/libs/control/include/pierbank/control/Registration.h
+++ b/libs/control/include/pierbank/control/Registration.h
@@ -23,7 +23,7 @@
      * Interval of the check for a linked leader. It also bounds the write rate of a fleet that has
      * no leader.
      */
-    static constexpr Millis CHECK{30'000};
+    static constexpr Millis CHECK_INTERVAL{30'000};
 
     /**
      * Store and loop must outlive the registration.
--- a/libs/control/include/pierbank/control/TaskWorker.h
+++ b/libs/control/include/pierbank/control/TaskWorker.h
@@ -59,7 +59,7 @@
      * Measurement over roughly the last half second. For a task that serves users, the tail latency
      * in milliseconds; for other tasks, the processor time in use in thousandths of a core.
      */
-    std::uint32_t m_figure = 0;
+    std::uint32_t m_tailMsOrCpuMillis = 0;
 };
 
 /** A finished run. The worker lists the run until its number is acknowledged as persisted. */
--- a/libs/control/include/pierbank/control/TicketCache.h
+++ b/libs/control/include/pierbank/control/TicketCache.h
@@ -77,7 +77,7 @@
     /** Replaces all requests. The tickets of steps that are no longer requested are discarded. */
     void setRequests(const std::vector<TicketRequest>& requests);
     /** Returns the workers with usable tickets, for each step of a job. */
-    AdvisedWorkers getAdvised(const std::string& job) const;
+    AdvisedWorkers getAdvisedWorkers(const std::string& job) const;
     /**
      * Returns the ticket for a start on a worker; empty if there is none that is valid for long
      * enough.
--- a/libs/control/include/pierbank/control/WorkerAgent.h
+++ b/libs/control/include/pierbank/control/WorkerAgent.h
@@ -118,7 +118,7 @@
     void sendNotice();
     void sendReport();
 
-    // Polls of the worker and renewal of its lease (WorkerAgentHold.cpp).
+    // Polls of the worker and renewal of its lease (WorkerAgentPolls.cpp).
     void schedulePoll(Millis delay);
     void poll(Millis wait);
     void acknowledge();
--- a/libs/control/include/pierbank/control/WorkerPool.h
+++ b/libs/control/include/pierbank/control/WorkerPool.h
@@ -26,14 +26,14 @@
      * Length of the lease that is granted with each renewal, counted from the request of the
      * sidecar.
      */
-    Millis m_grant{4500};
+    Millis m_leaseDuration{4500};
     /** Fraction by which the steady clock of a worker may be slow, which prolongs its lease. */
     double m_maxClockDrift = 0.03;
     /**
      * Longest lease that a worker accepts, whatever length is requested. Guaranteed by the
      * platform's contract.
      */
-    Millis m_longestHold{6000};
+    Millis m_maxWorkerLease{6000};
     /**
      * How long a leader that cannot reach the store continues to grant leases after its leadership
      * was last confirmed.
@@ -93,7 +93,7 @@
     /** A gateway has written this record under input/. */
     virtual void handleInputNotice(const InputNotice& notice) = 0;
     /** A gateway that cannot reach the store forwards the request of a caller. */
-    virtual void handleRelayed(const std::string& host, const RelayedRequest& request) = 0;
+    virtual void handleRelayedRequest(const std::string& host, const RelayedRequest& request) = 0;
     /** A gateway queries the age of the configuration. */
     virtual void handleGatewayQuery(const std::string& host, const GatewayQuery& query) = 0;
     /**
@@ -139,9 +139,9 @@
         bool m_isWorkerUnresponsive = false;
         Millis m_lastReceivedAt{0};
         /** Time after which no task can be running on the host. */
-        Millis m_grantedUntil{0};
+        Millis m_leaseEnd{0};
         /**
-         * Lower bound of m_grantedUntil. A call to the previous process of the worker that was
+         * Lower bound of m_leaseEnd. A call to the previous process of the worker that was
          * executed by the present process contains a time on the clock of the previous process,
          * which may be far ahead of the restarted clock.
          */
--- a/libs/control/src/CommitResolver.cpp
+++ b/libs/control/src/CommitResolver.cpp
@@ -28,7 +28,8 @@
     bool m_mayBeCommitted = false;
 
     bool mayRetry() const {
-        return m_policy.m_limit == Millis(0) || m_loop->now() - m_startedAt < m_policy.m_limit;
+        return m_policy.m_timeLimit == Millis(0) ||
+               m_loop->now() - m_startedAt < m_policy.m_timeLimit;
     }
 
     void run() {
@@ -36,8 +37,8 @@
             return;
         }
         Millis timeout = m_timeout;
-        if (m_policy.m_limit > Millis(0)) {
-            const Millis left = m_policy.m_limit - (m_loop->now() - m_startedAt);
+        if (m_policy.m_timeLimit > Millis(0)) {
+            const Millis left = m_policy.m_timeLimit - (m_loop->now() - m_startedAt);
             timeout = std::clamp(left, Millis(1), m_timeout);
         }
         m_store->commit(
--- a/libs/control/src/ConfigurationFeed.cpp
+++ b/libs/control/src/ConfigurationFeed.cpp
@@ -60,8 +60,8 @@
         confirm([done = std::move(done)](bool) { done(); });
         return;
     }
-    m_source->ask([this, done = std::move(done), alive = std::weak_ptr(m_isAlive)](
-                          const std::optional<ConfigurationNotice>& notice) {
+    m_source->requestNotice([this, done = std::move(done), alive = std::weak_ptr(m_isAlive)](
+                                    const std::optional<ConfigurationNotice>& notice) {
         if (alive.expired()) {
             return;
         }
@@ -149,15 +149,15 @@
         Findings findings;
         auto configuration = m_codec.readConfiguration(item.m_value, findings);
         if (!configuration.has_value()) {
-            noteUnreadable("configuration", "unreadable",
-                           {{"revision", std::to_string(item.m_revision)},
-                            {"findings", findings.toText()}});
+            reportUnreadable("configuration", "unreadable",
+                             {{"revision", std::to_string(item.m_revision)},
+                              {"findings", findings.toText()}});
             return;
         }
         if (!findings.isEmpty()) {
-            noteUnreadable("configuration", "rows-left-out",
-                           {{"revision", std::to_string(item.m_revision)},
-                            {"findings", findings.toText()}});
+            reportUnreadable("configuration", "rows-left-out",
+                             {{"revision", std::to_string(item.m_revision)},
+                              {"findings", findings.toText()}});
         }
         if (m_configuration.has_value() && configuration->m_version < m_configuration->m_version) {
             return;
--- a/libs/control/src/EvacuationFeed.cpp
+++ b/libs/control/src/EvacuationFeed.cpp
@@ -28,8 +28,9 @@
     m_confirmedAt.reset();
 }
 
-bool EvacuationFeed::isCertain() const {
-    const auto maxAge = MAX_AGE_SHARE * static_cast<double>(m_settings.m_bound.count());
+bool EvacuationFeed::isUpToDate() const {
+    const auto maxAge =
+            MAX_AGE_SHARE * static_cast<double>(m_settings.m_maxEnforcementDelay.count());
     return m_confirmedAt.has_value() &&
            static_cast<double>((m_loop.now() - *m_confirmedAt).count()) <= maxAge;
 }
@@ -53,7 +54,7 @@
 }
 
 void EvacuationFeed::handleRead(const StoreList& list, Millis sentAt) {
-    const bool wasCertain = isCertain();
+    const bool wasCertain = isUpToDate();
     m_confirmedAt = sentAt;
     const Domains before = std::exchange(m_domains, readDomains(list));
     if (m_domains != before) {
@@ -69,7 +70,7 @@
     for (const StoreItem& item : list.m_items) {
         const std::string domain = item.m_key.substr(EVACUATION_PREFIX.size());
         if (domain.empty() || domain.find('/') != std::string::npos) {
-            noteUnreadable("evacuations", "unreadable", {{"key", item.m_key}});
+            reportUnreadable("evacuations", "unreadable", {{"key", item.m_key}});
             continue;
         }
         domains.emplace(domain, item.m_revision);
--- a/libs/control/src/JobController.cpp
+++ b/libs/control/src/JobController.cpp
@@ -97,7 +97,7 @@
     m_onLeadershipLost();
 }
 
-std::string JobController::getNote(const std::string& job) const {
+std::string JobController::getExplanation(const std::string& job) const {
     std::vector<AdvisedWorkers> advisedWorkers;
     std::string text;
     for (const PlanExplanation& explanation :
@@ -162,7 +162,7 @@
  * domains.
  */
 bool JobController::isPlanDue() const {
-    if (!m_evacuations.isCertain() || m_loop.now() < m_planThrottle.getNextAt()) {
+    if (!m_evacuations.isUpToDate() || m_loop.now() < m_planThrottle.getNextAt()) {
         return false;
     }
     const Millis interval =
@@ -202,7 +202,7 @@
     const Millis startedAt = m_loop.now();
     const TaskPlan plan = makePlan(listJobs(advisedWorkers), false);
     m_isPlanStale = false;
-    m_waitingUnits = plan.m_waiting;
+    m_waitingUnits = plan.m_waitingUnits;
     m_plannedAt = m_loop.now();
     m_planThrottle.recordPlan(startedAt, m_plannedAt);
     recordPlanTime(m_plannedAt - startedAt, plan);
@@ -228,7 +228,7 @@
               {"workers", std::to_string(m_snapshots.size())},
               {"placed", std::to_string(plan.m_placements.size())},
               {"stopped", std::to_string(plan.m_stops.size())},
-              {"waiting", std::to_string(plan.m_waiting)}});
+              {"waiting", std::to_string(plan.m_waitingUnits)}});
 }
 
 /** Logs when an urgent job starts to wait and when the cause of its wait changes. */
@@ -244,7 +244,7 @@
                  {{"job", std::string(wait.m_job)},
                   {"for", std::string(toText(wait.m_cause))},
                   {"guaranteed", wait.m_isGuaranteed ? "yes" : "no"},
-                  {"loss_core_s", std::to_string(std::lround(wait.m_loss))},
+                  {"loss_core_s", std::to_string(std::lround(wait.m_wastedWork))},
                   {"age_ms",
                    std::to_string((m_loop.wallNow() - entry.m_record.m_acceptedAt).count())}});
     }
@@ -281,7 +281,7 @@
     const auto& snapshots = getWorkerSnapshots();
     const auto found =
             std::find_if(snapshots.begin(), snapshots.end(), [&](const WorkerSnapshot& snapshot) {
-                return getWorkerIdOf(snapshot.m_id.m_incarnation) == worker;
+                return parseWorkerId(snapshot.m_id.m_incarnation) == worker;
             });
     return found == snapshots.end() ? nullptr : &found->m_id.m_host;
 }
@@ -294,7 +294,7 @@
     }
     for (const auto& [id, entry] : m_jobs) {
         for (const ActiveRun& run : listActiveRunsOn(*host, id, entry.m_run)) {
-            if (getWorkerIdOf(run.m_worker.m_incarnation) != worker || !entry.m_hasInput) {
+            if (parseWorkerId(run.m_worker.m_incarnation) != worker || !entry.m_hasInput) {
                 continue;
             }
             const bool isUninterruptible =
@@ -315,7 +315,7 @@
 
 /** Returns whether an incarnation's worker is drained for upkeep. */
 bool JobController::isLeaving(std::string_view incarnation) const {
-    return !m_leavingWorkers.empty() && m_leavingWorkers.count(getWorkerIdOf(incarnation)) != 0;
+    return !m_leavingWorkers.empty() && m_leavingWorkers.count(parseWorkerId(incarnation)) != 0;
 }
 
 /** Performs the periodic work; the step that it schedules also covers due occurrences. */
--- a/libs/control/src/JobControllerEvacuations.cpp
+++ b/libs/control/src/JobControllerEvacuations.cpp
@@ -29,8 +29,8 @@
     } else if (word == RELEASE_WORD) {
         m_statementEvacuations.erase(domain);
     } else {
-        noteUnreadable("jobs", "unreadable-domain",
-                       {{"domain", domain}, {"value", std::string(word)}});
+        reportUnreadable("jobs", "unreadable-domain",
+                         {{"domain", domain}, {"value", std::string(word)}});
         return;
     }
     if (m_isLoaded) {
@@ -109,7 +109,7 @@
         if (activeRun.has_value()) {
             revoke(entry, *activeRun);
         }
-    } else if (m_evacuations.isCertain()) {
+    } else if (m_evacuations.isUpToDate()) {
         m_workers.send(message.m_host, message.m_frame);
     }
 }
--- a/libs/control/src/JobControllerGateways.cpp
+++ b/libs/control/src/JobControllerGateways.cpp
@@ -7,7 +7,7 @@
 
 namespace pierbank {
 
-void JobController::handleRelayed(const std::string& host, const RelayedRequest& request) {
+void JobController::handleRelayedRequest(const std::string& host, const RelayedRequest& request) {
     m_onRelayed(request, [this, host, number = request.m_number,
                           term = std::weak_ptr(m_term)](RelayedAnswer answer) {
         if (!term.expired()) {
--- a/libs/control/src/JobControllerOrders.cpp
+++ b/libs/control/src/JobControllerOrders.cpp
@@ -15,14 +15,14 @@
     for (const Placement& placement : placements) {
         const TaskKey& key = placement.m_task;
         JobEntry& entry = m_jobs.find(key.m_job)->second;
-        std::uint32_t run = getNextRun(entry.m_record, entry.m_run, key);
+        std::uint32_t run = getNextRunNumber(entry.m_record, entry.m_run, key);
         if (entry.m_record.m_spec.m_steps[key.m_step].m_isGang) {
             TaskKey gang = key;
             gang.m_index = 0;
             run = gangRuns.try_emplace(gang, run).first->second;
         }
         if (!entry.m_run.m_hasStarted && !entry.m_run.m_isTimed) {
-            m_statistics.m_untilPlaced.add(m_loop.wallNow() - entry.m_record.m_acceptedAt);
+            m_statistics.m_timeToFirstPlacement.add(m_loop.wallNow() - entry.m_record.m_acceptedAt);
         }
         applyPlacement(entry.m_run, key, run, placement.m_worker, m_loop.wallNow());
         sendOrder(entry, *entry.m_run.findActiveRun(key, run));
@@ -69,7 +69,8 @@
 
 long JobController::getRoundedCores(const JobRecord& record, const TaskKey& task) {
     const auto& steps = record.m_spec.m_steps;
-    return task.m_step < steps.size() ? std::lround(getCores(steps[task.m_step].m_need)) : 0;
+    return task.m_step < steps.size() ? std::lround(getCoreEquivalent(steps[task.m_step].m_need))
+                                      : 0;
 }
 
 /** Stops a run that is active and not being stopped yet. */
@@ -103,7 +104,7 @@
  */
 void JobController::sendOrQueueStop(JobEntry& entry, const ActiveRun& run) {
     const std::string name = run.m_task.toText();
-    if (entry.m_record.m_spec.m_steps[run.m_task.m_step].m_isLasting ||
+    if (entry.m_record.m_spec.m_steps[run.m_task.m_step].m_isLongRunning ||
         entry.hasPendingMessage(name, run.m_run)) {
         queueStops(entry, {run});
         return;
--- a/libs/control/src/JobControllerReports.cpp
+++ b/libs/control/src/JobControllerReports.cpp
@@ -135,8 +135,9 @@
         }
         clearRefutedLosses(found->second, *key, entry.m_run);
         const auto& steps = found->second.m_record.m_spec.m_steps;
-        const bool isLasting = key->m_step >= steps.size() || steps[key->m_step].m_isLasting;
-        if (!isLasting) {
+        const bool isLongRunning =
+                key->m_step >= steps.size() || steps[key->m_step].m_isLongRunning;
+        if (!isLongRunning) {
             const bool isGangIncomplete = entry.m_percent == 0 && steps[key->m_step].m_isGang &&
                                           !isWholeGangRunning(found->second, *key, entry.m_run);
             const bool mayWait = isGangIncomplete || hasFailedOnSeveralHosts(found->second, *key);
@@ -227,12 +228,12 @@
               {"ran_ms",
                isActive ? std::to_string((m_loop.wallNow() - activeRun->m_placedAt).count()) : "-"},
               {"cores", std::to_string(getRoundedCores(entry.m_record, *key))},
-              {"current", effect.m_isCurrent ? "yes" : "no"}});
+              {"current", effect.m_isApplied ? "yes" : "no"}});
     if (isActive) {
         const Millis runTime = m_loop.wallNow() - activeRun->m_placedAt;
         m_health.recordRunEnd({worker.m_host, key->m_job, endKind, runTime}, m_loop.now());
     }
-    if (effect.m_isCurrent) {
+    if (effect.m_isApplied) {
         entry.m_endsToPersist.emplace_back(worker, end.m_number);
         applyEffect(entry, effect);
         applyEffect(entry, failIfProvenFaulty(entry.m_run, *key, m_loop.wallNow()));
@@ -248,7 +249,7 @@
 
 /** Queues the stops that follow from the end of a run, and logs the end of its job. */
 void JobController::applyEffect(JobEntry& entry, const EndEffect& effect) {
-    if (!effect.m_isCurrent) {
+    if (!effect.m_isApplied) {
         return;
     }
     entry.m_isDirty = true;
@@ -370,7 +371,7 @@
     const bool isListed = isInReport(run, report);
     if (!isListed && isHostEvacuated(run.m_worker.m_host)) {
         revoke(entry, run);
-    } else if (isListed ? isThrottleRelevant : m_evacuations.isCertain()) {
+    } else if (isListed ? isThrottleRelevant : m_evacuations.isUpToDate()) {
         m_workers.send(run.m_worker.m_host, makeOrder(entry, run));
     }
 }
--- a/libs/control/src/JobControllerStore.cpp
+++ b/libs/control/src/JobControllerStore.cpp
@@ -152,7 +152,7 @@
     std::uint32_t weight = 0;
     const auto result = std::from_chars(text.data(), text.data() + text.size(), weight);
     if (result.ec != std::errc() || weight > MAX_WEIGHT) {
-        noteUnreadable("jobs", "unreadable-weight", {{"value", std::string(text)}});
+        reportUnreadable("jobs", "unreadable-weight", {{"value", std::string(text)}});
         return;
     }
     m_currentFragmentationWeight = weight;
@@ -166,7 +166,7 @@
             return;
         }
     }
-    noteUnreadable("jobs", "unreadable-hold", {{"host", host}, {"value", std::string(word)}});
+    reportUnreadable("jobs", "unreadable-hold", {{"host", host}, {"value", std::string(word)}});
 }
 
 /**
@@ -202,7 +202,7 @@
     }
     auto record = decodeJobRecord(item.m_value);
     if (!record.has_value()) {
-        noteUnreadable("jobs", "unreadable-job", {{"job", id}});
+        reportUnreadable("jobs", "unreadable-job", {{"job", id}});
         return;
     }
     JobEntry entry;
@@ -232,7 +232,7 @@
     if (!run.has_value()) {
         // The job may be running or finished. It is left out of scheduling, and the stored run
         // stays unchanged.
-        noteUnreadable("jobs", "unreadable-run", {{"job", id}});
+        reportUnreadable("jobs", "unreadable-run", {{"job", id}});
         m_jobs.erase(id);
         m_unreadableRuns.insert(id);
         return;
--- a/libs/control/src/JobControllerView.cpp
+++ b/libs/control/src/JobControllerView.cpp
@@ -72,10 +72,10 @@
 std::optional<Millis> JobController::getColdUntil(const std::string& host) const {
     const WorkerPool::Host* const poolHost = m_workers.findHost(host);
     if (poolHost == nullptr || !poolHost->m_notice.has_value() ||
-        poolHost->m_notice->m_coldLeftMs == 0) {
+        poolHost->m_notice->m_warmUpRemainingMs == 0) {
         return std::nullopt;
     }
-    return poolHost->m_noticeAt + Millis(poolHost->m_notice->m_coldLeftMs);
+    return poolHost->m_noticeAt + Millis(poolHost->m_notice->m_warmUpRemainingMs);
 }
 
 /**
@@ -105,7 +105,7 @@
         }
         PlannedJob job{&entry.m_record, &entry.m_run, nullptr};
         if (entry.m_record.m_policy.m_advice.has_value()) {
-            advisedWorkers.push_back(m_ticketCache.getAdvised(id));
+            advisedWorkers.push_back(m_ticketCache.getAdvisedWorkers(id));
             job.m_advised = &advisedWorkers.back();
         }
         jobs.push_back(job);
@@ -169,7 +169,7 @@
                                m_loop.wallNow(), withExplanations, mayPreempt()});
 }
 
-TaskPlan JobController::tryPlan(const JobRecord& record) const {
+TaskPlan JobController::makeTrialPlan(const JobRecord& record) const {
     std::vector<AdvisedWorkers> advisedWorkers;
     std::vector<PlannedJob> jobs = listJobs(advisedWorkers);
     const JobRun run = makeJobRun(record);
--- a/libs/control/src/JobCore.cpp
+++ b/libs/control/src/JobCore.cpp
@@ -14,12 +14,13 @@
           m_linkAddress(settings.m_links),
           m_configuration(m_store, loop, platform.m_codec, settings.m_configuration),
           m_intake(m_store, loop, m_configuration, platform.m_codec, settings.m_intake),
-          m_bid(settings.m_bid, Random(std::hash<std::string>()(settings.m_leader.m_node))),
+          m_candidacy(settings.m_candidacy,
+                      Random(std::hash<std::string>()(settings.m_leader.m_node))),
           m_lock(m_store, loop, settings.m_leader),
           m_jobs(m_store, loop, m_configuration, transport, platform.m_advisor, settings.m_workers,
                  settings.m_jobs),
           m_waves(m_store, loop, platform.m_fleet, platform.m_codec, m_jobs, settings.m_waves),
-          m_leaderLink(loop, m_bid),
+          m_leaderLink(loop, m_candidacy),
           m_registration(m_store, loop, [this] { return m_leaderLink.isUsable(); }) {
     m_intake.onWritten([this](std::string_view key, std::string_view value) {
         m_leaderLink.notify(key, value);
@@ -27,18 +28,19 @@
     m_intake.setRelay(*this);
     m_configuration.setSource(*this);
     m_configuration.onChange([this] { m_jobs.handleConfiguration(); });
-    m_configuration.onReachabilityChange([this](bool isReached) { m_intake.noteReach(isReached); });
+    m_configuration.onReachabilityChange(
+            [this](bool isReached) { m_intake.recordReachability(isReached); });
     connectLock();
     connectLeader();
 }
 
 /** Connects the leader lock to the candidacy and to the parts that depend on leadership. */
 void JobCore::connectLock() {
-    m_lock.setElectionDelayProvider([this] { return m_bid.drawElectionDelay(); });
+    m_lock.setElectionDelayProvider([this] { return m_candidacy.drawElectionDelay(); });
     m_lock.setLeaderProbe([this] { return m_leaderLink.isUsable(); });
-    m_lock.onUnanswered([this] {
+    m_lock.onReadFailed([this] {
         // While the store is known to be lost, the feed polls for its return anyway.
-        if (!m_configuration.isLost()) {
+        if (!m_configuration.isStoreLost()) {
             m_configuration.confirm([](bool) {});
         }
     });
@@ -65,8 +67,8 @@
             m_configuration.applyNotice(notice);
         }
     });
-    m_leaderLink.onLeaderTimeout([this] { m_lock.pollWithin(m_bid.drawElectionDelay()); });
-    m_jobs.setFitnessProvider([this] { return m_bid.getFitness(); });
+    m_leaderLink.onLeaderTimeout([this] { m_lock.pollWithin(m_candidacy.drawElectionDelay()); });
+    m_jobs.setFitnessProvider([this] { return m_candidacy.getFitness(); });
     m_jobs.onRelayed(
             [this](const RelayedRequest& request, std::function<void(const RelayedAnswer&)> done) {
                 answerRelayed(request, std::move(done));
@@ -126,7 +128,7 @@
     intakeRequest.m_host = request.m_host;
     intakeRequest.m_key = request.m_key;
     intakeRequest.m_body = request.m_body;
-    intakeRequest.m_patience = Millis(request.m_remainingMs);
+    intakeRequest.m_timeout = Millis(request.m_remainingMs);
     intakeRequest.m_isRelayed = true;
     m_intake.handle(std::move(intakeRequest), [done = std::move(done)](const IntakeAnswer& answer) {
         RelayedAnswer relayedAnswer;
--- a/libs/control/src/JobIntake.cpp
+++ b/libs/control/src/JobIntake.cpp
@@ -83,8 +83,8 @@
         return;
     }
     // While the store refuses quickly, each request tries a read: the store may have returned.
-    const bool isQuick = m_configuration.isLost() && !m_configuration.isStoreUnresponsive();
-    if (!isQuick && (m_configuration.isLost() || mayRelay(*call))) {
+    const bool isQuick = m_configuration.isStoreLost() && !m_configuration.isStoreUnresponsive();
+    if (!isQuick && (m_configuration.isStoreLost() || mayRelay(*call))) {
         answerUnavailable(call, "the store does not answer this gateway");
         return;
     }
@@ -114,7 +114,7 @@
     });
 }
 
-void JobIntake::noteReach(bool isReached) {
+void JobIntake::recordReachability(bool isReached) {
     if (isReached) {
         m_retryAfterPolicy.recordRegained(m_loop.now());
     } else {
@@ -126,7 +126,7 @@
     const Millis passed = m_loop.now() - call.m_startedAt;
     // The gateway that relayed this request has already deducted its margin.
     const Millis margin = call.m_request.m_isRelayed ? Millis(0) : m_settings.m_answerMargin;
-    return call.m_request.m_patience - margin - passed;
+    return call.m_request.m_timeout - margin - passed;
 }
 
 void JobIntake::route(const CallPtr& call) {
@@ -202,13 +202,13 @@
     transaction.m_puts = {{getJobKey(call->m_id), call->m_encodedRecord, 0}};
     call->m_submittedAt = m_loop.now();
     CommitRetryPolicy retryPolicy;
-    retryPolicy.m_limit = std::clamp(getTimeLeft(*call), Millis(1), m_settings.m_commitTimeout);
+    retryPolicy.m_timeLimit = std::clamp(getTimeLeft(*call), Millis(1), m_settings.m_commitTimeout);
     CommitResolver::run(m_store, m_loop, std::move(transaction), retryPolicy, m_isAlive,
                         [this, call](const StoreCommit& commit) { handleSubmitted(call, commit); });
     const Millis hedgeDelay = std::min(m_settings.m_hedgeDelay, getTimeLeft(*call) / 2);
     m_loop.callLater(hedgeDelay, [this, call, alive = std::weak_ptr(m_isAlive)] {
         const bool isOpen = !alive.expired() && !call->m_isAnswered;
-        if (isOpen && m_settings.m_hedges && mayRelay(*call)) {
+        if (isOpen && m_settings.m_hedgesSubmissions && mayRelay(*call)) {
             relayToLeader(call);
         }
     });
@@ -259,7 +259,7 @@
 }
 
 bool JobIntake::mayRelay(const Call& call) const {
-    return m_settings.m_relays && m_relay != nullptr && m_relay->isUsable() &&
+    return m_settings.m_relaysRequests && m_relay != nullptr && m_relay->isUsable() &&
            !call.m_request.m_isRelayed && call.m_relayState == Call::RelayState::NOT_SENT &&
            getTimeLeft(call) > MIN_RELAY_TIME;
 }
@@ -279,8 +279,8 @@
 void JobIntake::relayToLeader(const CallPtr& call) {
     call->m_relayState = Call::RelayState::SENT;
     IntakeRequest request = call->m_request;
-    request.m_patience = getTimeLeft(*call);
-    m_relay->relay(request, request.m_patience,
+    request.m_timeout = getTimeLeft(*call);
+    m_relay->relay(request, request.m_timeout,
                    [this, call](const std::optional<IntakeAnswer>& relayed) {
                        call->m_relayState = Call::RelayState::FINISHED;
                        call->m_leaderAnswer = relayed;
--- a/libs/control/src/JobIntakeReads.cpp
+++ b/libs/control/src/JobIntakeReads.cpp
@@ -114,7 +114,7 @@
     transaction.m_conditions = {{record.m_key, record.m_revision}};
     transaction.m_puts = {{getCancelKey(call->m_id), call->m_organisation, 0}};
     CommitRetryPolicy retryPolicy;
-    retryPolicy.m_limit = std::max(getTimeLeft(*call), Millis(1));
+    retryPolicy.m_timeLimit = std::max(getTimeLeft(*call), Millis(1));
     CommitResolver::run(m_store, m_loop, std::move(transaction), retryPolicy, m_isAlive,
                         [this, call](const StoreCommit& commit) {
                             if (commit.m_status == StoreStatus::OK) {
--- a/libs/control/src/LeaderLink.cpp
+++ b/libs/control/src/LeaderLink.cpp
@@ -25,7 +25,7 @@
           m_port(
                   loop, "gateway", [this](const LeaderHello& hello, bool) { handleLeader(hello); },
                   [this](const Frame& frame) { handleFrame(frame); }),
-          m_bid(candidacy),
+          m_candidacy(candidacy),
           m_requestInterval(QUERY_INTERVAL) {
     keepAlive();
 }
@@ -33,19 +33,19 @@
 /** Queries at once: a new leader has neither the number of gateways nor their fitness yet. */
 void LeaderLink::handleLeader(const LeaderHello& hello) {
     m_requestInterval = QUERY_INTERVAL;
-    ask([this](const auto& notice) { applyNotice(notice); });
+    queryConfiguration([this](const auto& notice) { applyNotice(notice); });
     m_onLeader(hello.m_epoch);
 }
 
 void LeaderLink::keepAlive() {
     checkLeaderTimeout();
     if (m_port.isLinked()) {
-        ask([this](const auto& notice) { applyNotice(notice); });
+        queryConfiguration([this](const auto& notice) { applyNotice(notice); });
     }
     const Millis dueAt = m_loop.now() + m_requestInterval;
     m_loop.callLater(m_requestInterval, [this, dueAt, alive = std::weak_ptr(m_isAlive)] {
         if (!alive.expired()) {
-            m_bid.recordLag(m_loop.now() - dueAt);
+            m_candidacy.recordLag(m_loop.now() - dueAt);
             keepAlive();
         }
     });
@@ -64,7 +64,7 @@
     }
 }
 
-void LeaderLink::ask(NoticeCallback done) {
+void LeaderLink::queryConfiguration(NoticeCallback done) {
     sendQuery(false, [done = std::move(done)](const auto& reply, Millis sentAt) {
         if (!reply.has_value()) {
             done(std::nullopt);
@@ -91,7 +91,7 @@
 void LeaderLink::sendQuery(bool wantsPending, ReplyCallback done) {
     const std::uint64_t number = ++m_lastQueryNumber;
     m_openQueries[number] = {m_loop.now(), std::move(done)};
-    const bool isSent = m_port.send(GatewayQuery{number, m_bid.getFitness(), wantsPending});
+    const bool isSent = m_port.send(GatewayQuery{number, m_candidacy.getFitness(), wantsPending});
     m_loop.callLater(isSent ? QUERY_TIMEOUT : Millis(0),
                      [this, number, alive = std::weak_ptr(m_isAlive)] {
                          if (!alive.expired()) {
@@ -111,7 +111,7 @@
 }
 
 void LeaderLink::handleReply(const GatewayReply& reply) {
-    m_bid.recordFleet(reply.m_gateways, reply.m_bestFitness);
+    m_candidacy.recordFleet(reply.m_gateways, reply.m_bestFitness);
     if (reply.m_nextRequestMs != 0) {
         m_requestInterval = Millis(reply.m_nextRequestMs);
     }
--- a/libs/control/src/LeaderLock.cpp
+++ b/libs/control/src/LeaderLock.cpp
@@ -156,11 +156,11 @@
     StoreTransaction transaction;
     transaction.m_conditions = {{std::string(LEADER_KEY), 0}};
     transaction.m_puts = {{std::string(LEADER_KEY),
-                           m_settings.m_operators.toText() + "#" + m_settings.m_node + "#" +
+                           m_settings.m_statementAddress.toText() + "#" + m_settings.m_node + "#" +
                                    std::to_string(lease),
                            lease}};
     CommitRetryPolicy retryPolicy;
-    retryPolicy.m_limit = m_settings.m_timeToLive;
+    retryPolicy.m_timeLimit = m_settings.m_timeToLive;
     CommitResolver::run(
             m_store, m_loop, std::move(transaction), retryPolicy, m_isAlive,
             [this, lease, sentAt](const StoreCommit& commit) {
--- a/libs/control/src/Registration.cpp
+++ b/libs/control/src/Registration.cpp
@@ -32,7 +32,7 @@
 }
 
 void Registration::scheduleCheck() {
-    m_loop.callLater(CHECK, [this, alive = std::weak_ptr(m_isAlive)] {
+    m_loop.callLater(CHECK_INTERVAL, [this, alive = std::weak_ptr(m_isAlive)] {
         if (!alive.expired()) {
             check();
         }
--- a/libs/control/src/TaskThrottle.cpp
+++ b/libs/control/src/TaskThrottle.cpp
@@ -31,7 +31,7 @@
         const auto kind = m_kinds.find({run.m_task, run.m_run});
         if (kind != m_kinds.end() && kind->second.m_latencyTarget > Millis(0)) {
             const auto target = static_cast<double>(kind->second.m_latencyTarget.count());
-            latencyRatio = std::max(latencyRatio, run.m_figure / target);
+            latencyRatio = std::max(latencyRatio, run.m_tailMsOrCpuMillis / target);
         }
     }
     return latencyRatio;
--- a/libs/control/src/TicketCache.cpp
+++ b/libs/control/src/TicketCache.cpp
@@ -30,7 +30,7 @@
     sendNextQuery();
 }
 
-AdvisedWorkers TicketCache::getAdvised(const std::string& job) const {
+AdvisedWorkers TicketCache::getAdvisedWorkers(const std::string& job) const {
     AdvisedWorkers advised;
     for (auto it = m_steps.lower_bound({job, 0, 0}); it != m_steps.end(); ++it) {
         const auto& [key, step] = *it;
@@ -70,7 +70,7 @@
     if (answer == step.m_answers.end()) {
         return true;
     }
-    const Millis renewalTime = step.m_request.m_policy.m_decide + m_settings.m_minValidity;
+    const Millis renewalTime = step.m_request.m_policy.m_decisionTime + m_settings.m_minValidity;
     return !answer->second.m_ticket.empty() && answer->second.m_until <= m_loop.now() + renewalTime;
 }
 
@@ -114,9 +114,10 @@
     m_isQuerying = true;
     ++step.m_queryCount;
     const AdvicePolicy& policy = step.m_request.m_policy;
-    const Millis timeout = policy.m_decide +
-                           policy.m_each * static_cast<std::int64_t>(incarnations.size()) +
-                           m_settings.m_timeoutMargin;
+    const Millis timeout =
+            policy.m_decisionTime +
+            policy.m_decisionTimePerWorker * static_cast<std::int64_t>(incarnations.size()) +
+            m_settings.m_timeoutMargin;
     const Millis sentAt = m_loop.now();
     m_advisor.advise(key.toText(), incarnations, timeout,
                      [this, key, incarnations, sentAt,
@@ -129,14 +130,14 @@
 
 void TicketCache::handleReply(const StepKey& key, const std::vector<std::string>& incarnations,
                               Millis sentAt, const AdviceReply& reply) {
-    logEvent(reply.m_isGood ? Severity::INFO : Severity::WARNING, "advice",
-             reply.m_isGood ? "answered" : "failed",
+    logEvent(reply.m_isComplete ? Severity::INFO : Severity::WARNING, "advice",
+             reply.m_isComplete ? "answered" : "failed",
              {{"step", key.toText()},
               {"asked", std::to_string(incarnations.size())},
               {"good", std::to_string(reply.m_workers.size())},
               {"took_ms", std::to_string((m_loop.now() - sentAt).count())},
               {"reason", reply.m_reason}});
-    if (!reply.m_isGood) {
+    if (!reply.m_isComplete) {
         m_loop.callLater(m_settings.m_retryDelay, [this, term = std::weak_ptr(m_term)] {
             if (!term.expired()) {
                 m_isQuerying = false;
@@ -153,7 +154,7 @@
             step.m_answers[incarnation] = Answer();
         }
         // The advisor cannot have issued the ticket before the query was sent.
-        const Millis until = sentAt + step.m_request.m_policy.m_valid;
+        const Millis until = sentAt + step.m_request.m_policy.m_ticketLifetime;
         for (const AdvisedWorker& worker : reply.m_workers) {
             step.m_answers[worker.m_incarnation] = {worker.m_ticket, until};
         }
--- a/libs/control/src/WaveController.cpp
+++ b/libs/control/src/WaveController.cpp
@@ -110,15 +110,15 @@
     Findings findings;
     auto spec = m_codec.readWave(item.m_value, findings);
     if (!spec.has_value()) {
-        noteUnreadable("waves", "unreadable",
-                       {{"key", item.m_key}, {"findings", findings.toText()}});
+        reportUnreadable("waves", "unreadable",
+                         {{"key", item.m_key}, {"findings", findings.toText()}});
         return;
     }
     spec->m_number = *number;
     logEvent(Severity::INFO, "waves", "asked",
              {{"wave", std::to_string(*number)},
               {"machines", std::to_string(spec->m_machines.size())},
-              {"at_once", std::to_string(spec->m_cap)},
+              {"at_once", std::to_string(spec->m_maxMachinesDown)},
               {"within_ms", std::to_string(spec->m_duration.count())}});
     Wave& wave = m_waves[*number];
     wave.m_spec = *std::move(spec);
@@ -237,7 +237,7 @@
                          return rankOf(a) < rankOf(b);
                      });
     for (const Machine* const machine : waitingMachines) {
-        if (downCount >= wave.m_spec.m_cap) {
+        if (downCount >= wave.m_spec.m_maxMachinesDown) {
             break;
         }
         if (machine->m_state != MachineState::UP) {
@@ -250,7 +250,7 @@
 
 /** @return the maximum time for draining a worker, derived from the wave's time for one batch. */
 Millis WaveController::getMaxDrainTime(const Wave& wave) const {
-    const std::size_t cap = std::max<std::size_t>(1, wave.m_spec.m_cap);
+    const std::size_t cap = std::max<std::size_t>(1, wave.m_spec.m_maxMachinesDown);
     const std::size_t batches =
             std::max<std::size_t>(1, (wave.m_spec.m_machines.size() + cap - 1) / cap);
     const auto batchTime =
--- a/libs/control/src/WorkerAgent.cpp
+++ b/libs/control/src/WorkerAgent.cpp
@@ -207,7 +207,7 @@
         notice.m_fullAccelerators = m_fullCapacity.m_accelerators;
         notice.m_isDraining = m_heartbeat->m_isDraining;
         notice.m_remainingMs = static_cast<std::uint64_t>(m_heartbeat->m_remaining.count());
-        notice.m_coldLeftMs = static_cast<std::uint64_t>(getRemainingColdTime().count());
+        notice.m_warmUpRemainingMs = static_cast<std::uint64_t>(getRemainingColdTime().count());
     }
     m_leader.send(notice);
 }
--- a/libs/control/src/WorkerAgentIncarnation.cpp
+++ b/libs/control/src/WorkerAgentIncarnation.cpp
@@ -77,7 +77,7 @@
  */
 bool WorkerAgent::differsFromLast(const WorkerHeartbeat& heartbeat) const {
     const bool turnsCold = m_heartbeat.has_value() &&
-                           heartbeat.m_coldLeft > getRemainingColdTime() + MIN_COLD_INCREASE;
+                           heartbeat.m_warmUpRemaining > getRemainingColdTime() + MIN_COLD_INCREASE;
     return !m_heartbeat.has_value() || turnsCold ||
            m_heartbeat->m_isDraining != heartbeat.m_isDraining ||
            m_heartbeat->m_capacity != heartbeat.m_capacity ||
@@ -88,7 +88,7 @@
 
 /** Returns the remaining cold time, extrapolated from the last heartbeat. */
 Millis WorkerAgent::getRemainingColdTime() const {
-    return std::max(m_heartbeat->m_coldLeft - (m_loop.now() - m_heartbeatAt), Millis(0));
+    return std::max(m_heartbeat->m_warmUpRemaining - (m_loop.now() - m_heartbeatAt), Millis(0));
 }
 
 void WorkerAgent::handleLeave(const WorkerIncarnation& incarnation) {
--- a/libs/control/src/WorkerPool.cpp
+++ b/libs/control/src/WorkerPool.cpp
@@ -68,7 +68,7 @@
     const double each = MILLIS_PER_SECOND / m_settings.m_requestsPerSecond;
     const Millis fair(std::llround(each * static_cast<double>(m_hosts.size())));
     const Millis longest(std::llround(m_settings.m_requestIntervalShare *
-                                      static_cast<double>(m_settings.m_grant.count())));
+                                      static_cast<double>(m_settings.m_leaseDuration.count())));
     return std::max(m_settings.m_minRequestInterval, std::min(fair, longest));
 }
 
@@ -79,7 +79,7 @@
 }
 
 Millis WorkerPool::getMaxLease() const {
-    return addClockDrift(m_settings.m_grant);
+    return addClockDrift(m_settings.m_leaseDuration);
 }
 
 void WorkerPool::addHost(const std::string& address) {
@@ -96,7 +96,7 @@
     host.m_lastReceivedAt = m_loop.now();
     // A previous leader without access to the store may continue to grant leases until its grace
     // period ends.
-    host.m_grantedUntil = m_loop.now() + m_settings.m_outageGrace + getMaxLease();
+    host.m_leaseEnd = m_loop.now() + m_settings.m_outageGrace + getMaxLease();
     enqueueConnect(address);
 }
 
@@ -119,7 +119,7 @@
 /** Records an order that is being sent, and extends the time until which its run may last. */
 void WorkerPool::recordOrder(Host& host, const RunOrder& order) {
     host.m_unreportedOrders[{order.m_task, order.m_run}] = m_loop.now();
-    host.m_grantedUntil = std::max(host.m_grantedUntil, getMinLeaseEnd(host));
+    host.m_leaseEnd = std::max(host.m_leaseEnd, getMinLeaseEnd(host));
 }
 
 /**
@@ -128,7 +128,7 @@
 Millis WorkerPool::getMinLeaseEnd(const Host& host) const {
     Millis until = host.m_minLeaseEnd;
     for (const auto& [run, sentAt] : host.m_unreportedOrders) {
-        until = std::max(until, sentAt + addClockDrift(m_settings.m_longestHold));
+        until = std::max(until, sentAt + addClockDrift(m_settings.m_maxWorkerLease));
     }
     return until;
 }
@@ -146,7 +146,7 @@
         host.m_unreportedOrders.erase({end.m_task, end.m_run});
     }
     std::erase_if(host.m_unreportedOrders, [this](const auto& order) {
-        return order.second + addClockDrift(m_settings.m_longestHold) < m_loop.now();
+        return order.second + addClockDrift(m_settings.m_maxWorkerLease) < m_loop.now();
     });
 }
 
@@ -172,11 +172,11 @@
     } else if (const auto* const input = std::get_if<InputNotice>(&frame)) {
         m_listener.handleInputNotice(*input);
     } else if (const auto* const request = std::get_if<RelayedRequest>(&frame)) {
-        m_listener.handleRelayed(address, *request);
+        m_listener.handleRelayedRequest(address, *request);
     } else if (const auto* const query = std::get_if<GatewayQuery>(&frame)) {
         host.m_fitness = query->m_fitness;
         host.m_isLost = false;
-        host.m_grantedUntil = m_loop.now() + getMaxLease();
+        host.m_leaseEnd = m_loop.now() + getMaxLease();
         finishOpening(address);
         m_listener.handleGatewayQuery(address, *query);
     }
@@ -184,8 +184,8 @@
 
 void WorkerPool::applyNotice(Host& host, const WorkerNotice& notice) {
     if (!host.m_notice.has_value() || host.m_notice->m_incarnation != notice.m_incarnation) {
-        host.m_minLeaseEnd = m_loop.now() + addClockDrift(m_settings.m_longestHold);
-        host.m_grantedUntil = std::max(host.m_grantedUntil, host.m_minLeaseEnd);
+        host.m_minLeaseEnd = m_loop.now() + addClockDrift(m_settings.m_maxWorkerLease);
+        host.m_leaseEnd = std::max(host.m_leaseEnd, host.m_minLeaseEnd);
     }
     host.m_notice = notice;
     host.m_noticeAt = m_loop.now();
@@ -200,20 +200,20 @@
         logEvent(Severity::WARNING, "workers", "worker-silence",
                  {{"host", host.m_address},
                   {"silent", leaseRequest.m_isWorkerUnresponsive ? "yes" : "no"},
-                  {"lease_ms", std::to_string((host.m_grantedUntil - m_loop.now()).count())}});
+                  {"lease_ms", std::to_string((host.m_leaseEnd - m_loop.now()).count())}});
     }
     const Millis sinceConfirmed = m_loop.now() - m_getConfirmedAt();
     if (sinceConfirmed > m_settings.m_outageGrace || leaseRequest.m_isWorkerUnresponsive) {
         return;
     }
-    host.m_grantedUntil = std::max(host.m_grantedUntil, m_loop.now() + getMaxLease());
+    host.m_leaseEnd = std::max(host.m_leaseEnd, m_loop.now() + getMaxLease());
     if (host.m_hasReport) {
         // The runs on the host are now known to this leader, so that leases granted by previous
         // leaders no longer matter.
-        host.m_grantedUntil = std::max(m_loop.now() + getMaxLease(), getMinLeaseEnd(host));
+        host.m_leaseEnd = std::max(m_loop.now() + getMaxLease(), getMinLeaseEnd(host));
     }
     host.m_isLost = false;
-    const auto ttl = static_cast<std::uint64_t>(m_settings.m_grant.count());
+    const auto ttl = static_cast<std::uint64_t>(m_settings.m_leaseDuration.count());
     const auto nextRequestMs = static_cast<std::uint64_t>(getRequestInterval().count());
     host.m_link->send(LeaseRenewal{m_epoch, leaseRequest.m_sequence, ttl, nextRequestMs});
 }
@@ -227,7 +227,7 @@
         if (host.isLinked() && now - host.m_lastReceivedAt > timeout) {
             unresponsive.push_back(address);
         }
-        if (!host.m_isLost && now > host.m_grantedUntil) {
+        if (!host.m_isLost && now > host.m_leaseEnd) {
             host.m_isLost = true;
             lost.push_back(address);
         }
--- a/libs/daemon/include/pierbank/daemon/Gateway.h
+++ b/libs/daemon/include/pierbank/daemon/Gateway.h
@@ -11,7 +11,7 @@
 #include "pierbank/daemon/GatewaySettings.h"
 #include "pierbank/http/HttpServer.h"
 #include "pierbank/operators/JobBackend.h"
-#include "pierbank/store/CountedStore.h"
+#include "pierbank/store/CountingStore.h"
 
 namespace pierbank {
 
@@ -48,7 +48,7 @@
     EventLoop& m_loop;
     const CallerHeaders m_headers;
     const GatewaySettings m_settings;
-    CountedStore m_store;
+    CountingStore m_store;
     JobCore m_core;
     HttpServer m_front;
     HttpServer m_ready;
--- a/libs/daemon/src/Gateway.cpp
+++ b/libs/daemon/src/Gateway.cpp
@@ -12,14 +12,14 @@
 
 namespace {
 
-/** A caller that names no patience. */
+/** A caller that names no timeout. */
 constexpr std::int64_t DEFAULT_PATIENCE_MS = 3000;
 
 std::string stripPort(std::string_view host) {
     return std::string(host.substr(0, host.find(':')));
 }
 
-Millis readPatience(std::string_view text) {
+Millis readTimeout(std::string_view text) {
     std::int64_t millis = 0;
     const auto result = std::from_chars(text.data(), text.data() + text.size(), millis);
     const bool isGood = result.ec == std::errc() && millis > 0;
@@ -50,7 +50,7 @@
           }),
           m_backend(m_store, loop, m_core, m_callers),
           m_operators(m_backend, client, m_settings.m_tokens) {
-    m_backend.setCountedStore(m_store);
+    m_backend.setCountingStore(m_store);
 }
 
 Gateway::~Gateway() = default;
@@ -77,7 +77,7 @@
     asked.m_path = request.m_target.substr(0, request.m_target.find('?'));
     asked.m_key = request.getHeader(m_headers.m_key);
     asked.m_body = request.m_body;
-    asked.m_patience = readPatience(request.getHeader(m_headers.m_patience));
+    asked.m_timeout = readTimeout(request.getHeader(m_headers.m_patience));
     ++m_inProgress;
     m_core.getIntake().handle(
             std::move(asked), [this, call, startedAt = m_loop.now()](const IntakeAnswer& answer) {
--- a/libs/daemon/src/GatewaySettings.cpp
+++ b/libs/daemon/src/GatewaySettings.cpp
@@ -73,19 +73,21 @@
     auto& workers = settings.m_core.m_workers;
     // A worker cuts a longer lease down, and the lease has to reach it first.
     constexpr double GRANT_SHARE = 0.75;
-    const Millis longest = file.getDuration({"workers", "longest-hold"},
-                                            scale(workers.m_grant, 1 / GRANT_SHARE), LEAST, MOST);
-    workers.m_grant =
-            file.getDuration({"workers", "grant"},
-                             std::min(workers.m_grant, scale(longest, GRANT_SHARE)), LEAST, MOST);
-    workers.m_longestHold = longest;
-    if (workers.m_grant > longest) {
+    const Millis longest =
+            file.getDuration({"workers", "longest-hold"},
+                             scale(workers.m_leaseDuration, 1 / GRANT_SHARE), LEAST, MOST);
+    workers.m_leaseDuration = file.getDuration(
+            {"workers", "grant"}, std::min(workers.m_leaseDuration, scale(longest, GRANT_SHARE)),
+            LEAST, MOST);
+    workers.m_maxWorkerLease = longest;
+    if (workers.m_leaseDuration > longest) {
         file.report({"workers", "grant"}, "is longer than a worker holds (longest-hold)");
     }
     workers.m_outageGrace =
             file.getDuration({"workers", "outage-grace"}, workers.m_outageGrace, Millis(0), MOST);
     auto& planner = settings.m_core.m_jobs.m_planner;
-    planner.m_farFactor = file.getReal({"planner", "far-factor"}, planner.m_farFactor, 1, 1000);
+    planner.m_remoteFactor =
+            file.getReal({"planner", "far-factor"}, planner.m_remoteFactor, 1, 1000);
     planner.m_settleTime =
             file.getDuration({"planner", "settle-time"}, planner.m_settleTime, Millis(0), MOST);
     constexpr Millis DAY{86'400'000};
@@ -101,9 +103,11 @@
     constexpr double READ_SHARE = 0.1;
     constexpr Millis LEAST_BOUND{1000};
     EvacuationFeedSettings& feed = jobs.m_evacuations;
-    feed.m_bound = file.getDuration({"evacuations", "bound"}, feed.m_bound, LEAST_BOUND, MOST);
-    feed.m_interval = std::min(feed.m_interval, scale(feed.m_bound, READ_SHARE));
-    jobs.m_startTimeout = std::min(jobs.m_startTimeout, scale(feed.m_bound, BEGIN_SHARE));
+    feed.m_maxEnforcementDelay = file.getDuration({"evacuations", "bound"},
+                                                  feed.m_maxEnforcementDelay, LEAST_BOUND, MOST);
+    feed.m_interval = std::min(feed.m_interval, scale(feed.m_maxEnforcementDelay, READ_SHARE));
+    jobs.m_startTimeout =
+            std::min(jobs.m_startTimeout, scale(feed.m_maxEnforcementDelay, BEGIN_SHARE));
 }
 
 /**
@@ -114,9 +118,9 @@
     auto& planner = core.m_jobs.m_planner;
     planner.m_excludesFailedHosts = file.getSwitch({"switches", "bars-hosts"}, true);
     planner.m_migratesOffLeaving = file.getSwitch({"switches", "moves-off-leaving"}, true);
-    planner.m_copies = file.getSwitch({"switches", "copies"}, true);
+    planner.m_copiesSlowTasks = file.getSwitch({"switches", "copies"}, true);
     if (!file.getSwitch({"switches", "waits-for-ends"}, true)) {
-        planner.m_waitShare = 0;
+        planner.m_preemptionDelayShare = 0;
     }
     if (!file.getSwitch({"switches", "claims"}, true)) {
         planner.m_maxReservations = 0;
@@ -125,8 +129,8 @@
     core.m_jobs.m_scoresHosts = file.getSwitch({"switches", "judges-hosts"}, true);
     core.m_jobs.m_learnsSpeeds = file.getSwitch({"switches", "learns-speeds"}, true);
     core.m_jobs.m_detectsStalls = file.getSwitch({"switches", "sees-stalls"}, true);
-    core.m_intake.m_hedges = file.getSwitch({"switches", "hedges"}, true);
-    core.m_intake.m_relays = file.getSwitch({"switches", "relays"}, true);
+    core.m_intake.m_hedgesSubmissions = file.getSwitch({"switches", "hedges"}, true);
+    core.m_intake.m_relaysRequests = file.getSwitch({"switches", "relays"}, true);
 }
 
 }  // namespace
@@ -152,14 +156,14 @@
     GatewaySettings settings;
     readAddresses(file, settings);
     readGrace(file, settings);
-    readHost(file, settings.m_core.m_bid);
-    settings.m_core.m_configuration.m_linkMbps = settings.m_core.m_bid.m_linkMbps;
+    readHost(file, settings.m_core.m_candidacy);
+    settings.m_core.m_configuration.m_linkMbps = settings.m_core.m_candidacy.m_linkMbps;
     settings.m_tokens = readOperatorTokens(file);
     readSchedule(file, settings);
     readEvacuations(file, settings.m_core.m_jobs);
     readSwitches(file, settings.m_core);
     settings.m_core.m_leader.m_node = settings.m_name;
-    settings.m_core.m_leader.m_operators = settings.m_operators;
+    settings.m_core.m_leader.m_statementAddress = settings.m_operators;
     settings.m_core.m_workers.m_node = settings.m_name;
     settings.m_core.m_waves.m_node = settings.m_name;
     file.reportUnknownKeys();
--- a/libs/daemon/src/Sidecar.cpp
+++ b/libs/daemon/src/Sidecar.cpp
@@ -43,14 +43,14 @@
     const std::string id = request.m_target.substr(request.m_target.rfind('/') + 1);
     HttpServerAnswer answer;
     if (request.m_method == "DELETE") {
-        m_agent.handleLeave(m_codec.readLeave(id, request.m_body));
+        m_agent.handleLeave(m_codec.readDeparture(id, request.m_body));
         call->answer(answer);
         return;
     }
     Findings findings;
-    const auto heartbeat = m_codec.readBeat(id, request.m_body, findings);
+    const auto heartbeat = m_codec.readHeartbeat(id, request.m_body, findings);
     if (!heartbeat.has_value()) {
-        noteUnreadable("sidecar", "bad-beat", {{"id", id}, {"findings", findings.toText()}});
+        reportUnreadable("sidecar", "bad-beat", {{"id", id}, {"findings", findings.toText()}});
         answer.m_status = HTTP_BAD_REQUEST;
         call->answer(answer);
         return;
--- a/libs/daemon/test/GatewaySettingsTest.cpp
+++ b/libs/daemon/test/GatewaySettingsTest.cpp
@@ -34,7 +34,7 @@
     EXPECT_TRUE(m_findings.isEmpty()) << m_findings.toText();
     EXPECT_TRUE(settings.m_core.m_jobs.m_reservesHeadroom);
     EXPECT_TRUE(settings.m_core.m_jobs.m_planner.m_excludesFailedHosts);
-    EXPECT_TRUE(settings.m_core.m_intake.m_hedges);
+    EXPECT_TRUE(settings.m_core.m_intake.m_hedgesSubmissions);
 }
 
 TEST_F(GatewaySettingsTest, SwitchMechanismsOff) {
@@ -47,7 +47,7 @@
 TEST_F(GatewaySettingsTest, TakeTheBoundOfEvacuationsFromTheSheetAndReadOftenEnoughForIt) {
     const GatewaySettings settings = read("[evacuations]\nbound=2000ms\n");
     EXPECT_TRUE(m_findings.isEmpty()) << m_findings.toText();
-    EXPECT_EQ(settings.m_core.m_jobs.m_evacuations.m_bound, Millis(2000));
+    EXPECT_EQ(settings.m_core.m_jobs.m_evacuations.m_maxEnforcementDelay, Millis(2000));
     EXPECT_EQ(settings.m_core.m_jobs.m_evacuations.m_interval, Millis(200));
     EXPECT_EQ(settings.m_core.m_jobs.m_startTimeout, Millis(400));
     EXPECT_EQ(read("").m_core.m_jobs.m_evacuations.m_interval, Millis(500));
@@ -57,11 +57,11 @@
 
 TEST_F(GatewaySettingsTest, TakeWhatTheHostGivesAndAllForAlikeWithoutIt) {
     const LeadershipCandidacySettings bid =
-            read("[host]\nprocessor-share=0.12\nlink-mbps=20\n").m_core.m_bid;
+            read("[host]\nprocessor-share=0.12\nlink-mbps=20\n").m_core.m_candidacy;
     EXPECT_TRUE(m_findings.isEmpty()) << m_findings.toText();
     EXPECT_DOUBLE_EQ(bid.m_processorShare, 0.12);
     EXPECT_DOUBLE_EQ(bid.m_linkMbps, 20);
-    EXPECT_DOUBLE_EQ(read("").m_core.m_bid.m_processorShare, 1.0);
+    EXPECT_DOUBLE_EQ(read("").m_core.m_candidacy.m_processorShare, 1.0);
     read("[host]\nprocessor-share=none\n");
     EXPECT_NE(m_findings.toText().find("processor-share"), std::string::npos);
 }
--- a/libs/job/include/pierbank/job/JobRun.h
+++ b/libs/job/include/pierbank/job/JobRun.h
@@ -230,7 +230,7 @@
 std::vector<std::string_view> listStalledHosts(const JobRun& run);
 
 /** Returns the number of the next run of a task; the members of a gang share the number. */
-std::uint32_t getNextRun(const JobRecord& record, const JobRun& run, const TaskKey& key);
+std::uint32_t getNextRunNumber(const JobRecord& record, const JobRun& run, const TaskKey& key);
 
 /** Places run `number` of a waiting task on a worker. */
 void applyPlacement(JobRun& run, const TaskKey& key, std::uint32_t number, const WorkerId& worker,
@@ -269,7 +269,7 @@
 /** Changes made by the functions that apply the end of a run. */
 struct EndEffect {
     /** The job's state was changed; false for a duplicate end or an unknown run. */
-    bool m_isCurrent = false;
+    bool m_isApplied = false;
     /** The job finished by this end. */
     bool m_endsJob = false;
     /** Runs to stop: other members of the gang, copies, or all runs of a failed job. */
--- a/libs/job/include/pierbank/job/JobSpec.h
+++ b/libs/job/include/pierbank/job/JobSpec.h
@@ -72,7 +72,7 @@
     std::uint32_t m_maxPerWorker = 0;
     /** Long-running: the tasks run until the job is cancelled. A run that ends is always started
      * again. */
-    bool m_isLasting = false;
+    bool m_isLongRunning = false;
     /** Speculative copies of a task are allowed; the first run to finish provides the result. */
     bool m_isSpeculative = false;
     /** Image that the tasks run; tasks of one image behave alike. Empty for none. */
@@ -108,18 +108,18 @@
     /** Returns whether the job runs several times at an interval. */
     bool isTimed() const noexcept { return m_occurrences > 0; }
     /** Returns whether any step is long-running. */
-    bool isLasting() const noexcept;
+    bool isLongRunning() const noexcept;
 };
 
 /** Timing of the platform's placement advice, the service that decides which workers may run a
  * step. */
 struct AdvicePolicy {
     /** Time that the service needs to answer a request, without the share per worker. */
-    Millis m_decide{0};
+    Millis m_decisionTime{0};
     /** Additional time for each worker named in the request. */
-    Millis m_each{0};
+    Millis m_decisionTimePerWorker{0};
     /** Time for which a placement ticket is valid. */
-    Millis m_valid{0};
+    Millis m_ticketLifetime{0};
 };
 
 /** Settings of a job's queue, copied from the configuration in force when the job was accepted. */
--- a/libs/job/include/pierbank/job/RunLosses.h
+++ b/libs/job/include/pierbank/job/RunLosses.h
@@ -106,7 +106,7 @@
     bool hasCrashedOn(std::string_view host) const;
     /** Returns whether a run of this age may still crash its worker: the task is suspect, and the
      * run has not yet lasted clearly longer than the lost runs. */
-    bool isRisk(Millis age) const;
+    bool mayCrashWorker(Millis age) const;
     /** Returns whether the losses are sufficient evidence that the task crashes workers. */
     bool provesTaskFault() const;
     /**
--- a/libs/job/include/pierbank/job/TaskPlanner.h
+++ b/libs/job/include/pierbank/job/TaskPlanner.h
@@ -59,7 +59,7 @@
 /** Weights and limits of the planner's decisions. */
 struct TaskPlannerSettings {
     /** Run time factor of tasks outside the rack of their data, and of gangs on several racks. */
-    double m_farFactor = 3.0;
+    double m_remoteFactor = 3.0;
     /**
      * Work is hopeless, and goes last within its priority, when it will miss its objective by more
      * than this multiple of the span from its due time to its objective. The platform's contract
@@ -78,7 +78,7 @@
      * counted from its due time, is limited to this share of its declared time and to
      * `m_maxPreemptionDelay`.
      */
-    double m_waitShare = 0.35;
+    double m_preemptionDelayShare = 0.35;
     Millis m_maxPreemptionDelay{1200};
     /**
      * A unit is starved when it has waited for this multiple of its declared time and for at least
@@ -128,7 +128,7 @@
     /** Tasks migrate from workers that leave before the tasks would end. */
     bool m_migratesOffLeaving = true;
     /** Slow tasks of speculative steps get a second run on another worker. */
-    bool m_copies = true;
+    bool m_copiesSlowTasks = true;
     /** A lasting task counts as unavailable until its run has lasted for this long. */
     Millis m_settleTime{5000};
 };
@@ -181,7 +181,7 @@
     /** Whether the guarantee of the job's organisation covers the job. */
     bool m_isGuaranteed = false;
     /** Core-seconds of work that preemption throws away, or would have to. */
-    double m_loss = 0;
+    double m_wastedWork = 0;
 };
 
 /** Returns the name of the cause for the log. */
@@ -242,7 +242,7 @@
     std::vector<UrgentWait> m_urgentWaits;
     /** Number of units left unplaced; the passing of time alone may make a later pass place them.
      */
-    std::size_t m_waiting = 0;
+    std::size_t m_waitingUnits = 0;
 };
 
 /**
@@ -290,7 +290,7 @@
 
 /** Returns the value of resources in cores; an accelerator counts as eight cores, as in the
  * platform's price list. */
-double getCores(const Resources& need);
+double getCoreEquivalent(const Resources& need);
 
 }  // namespace pierbank
 
--- a/libs/job/include/pierbank/job/WorkerIncarnation.h
+++ b/libs/job/include/pierbank/job/WorkerIncarnation.h
@@ -34,7 +34,7 @@
 };
 
 /** Returns the worker's id from the text of an incarnation, which may lack the start time. */
-std::string_view getWorkerIdOf(std::string_view incarnation);
+std::string_view parseWorkerId(std::string_view incarnation);
 
 }  // namespace pierbank
 
--- a/libs/job/src/JobCodec.cpp
+++ b/libs/job/src/JobCodec.cpp
@@ -26,7 +26,7 @@
 void describe(Archive& archive, StepSpec& value) {
     archive(value.m_tasks, value.m_need, value.m_estimate, value.m_after, value.m_savesProgress,
             value.m_isGang, value.m_adjacency, value.m_allowsRemote, value.m_requiredLabel,
-            value.m_dataRack, value.m_maxPerWorker, value.m_isLasting, value.m_isSpeculative,
+            value.m_dataRack, value.m_maxPerWorker, value.m_isLongRunning, value.m_isSpeculative,
             value.m_image, value.m_latencyTarget, value.m_isFilling, value.m_maxUnavailable);
 }
 
@@ -38,7 +38,7 @@
 
 template <typename Archive>
 void describe(Archive& archive, AdvicePolicy& value) {
-    archive(value.m_decide, value.m_each, value.m_valid);
+    archive(value.m_decisionTime, value.m_decisionTimePerWorker, value.m_ticketLifetime);
 }
 
 template <typename Archive>
--- a/libs/job/src/JobSpec.cpp
+++ b/libs/job/src/JobSpec.cpp
@@ -5,9 +5,9 @@
 
 namespace pierbank {
 
-bool JobSpec::isLasting() const noexcept {
+bool JobSpec::isLongRunning() const noexcept {
     return std::any_of(m_steps.begin(), m_steps.end(),
-                       [](const StepSpec& step) { return step.m_isLasting; });
+                       [](const StepSpec& step) { return step.m_isLongRunning; });
 }
 
 }  // namespace pierbank
--- a/libs/job/src/JobTransitions.cpp
+++ b/libs/job/src/JobTransitions.cpp
@@ -209,7 +209,7 @@
                             [host](const WorkerId& worker) { return worker.m_host == host; });
 }
 
-std::uint32_t getNextRun(const JobRecord& record, const JobRun& run, const TaskKey& key) {
+std::uint32_t getNextRunNumber(const JobRecord& record, const JobRun& run, const TaskKey& key) {
     std::uint32_t last = run.findTask(key)->m_lastRun;
     if (record.m_spec.m_steps[key.m_step].m_isGang) {
         const auto& members = run.findOccurrence(key.m_occurrence)->m_steps[key.m_step].m_tasks;
@@ -292,7 +292,7 @@
     if (!active.has_value()) {
         return effect;
     }
-    effect.m_isCurrent = true;
+    effect.m_isApplied = true;
     const StepSpec& spec = record.m_spec.m_steps[key.m_step];
     StepRun& step = run.findOccurrence(key.m_occurrence)->m_steps[key.m_step];
     const bool isDoneAlready = step.m_tasks[key.m_index].m_state == TaskState::DONE;
@@ -303,11 +303,12 @@
         return effect;
     }
     saveCheckpoint(spec, step, key, checkpoint);
-    if (end == RunEnd::DONE && !spec.m_isLasting) {
+    if (end == RunEnd::DONE && !spec.m_isLongRunning) {
         effect.m_toStop = applyDone(record, run, key, wallNow);
         return effect;
     }
-    if (end == RunEnd::FAILED && !spec.m_isLasting && countFailure(record, run, *active, wallNow)) {
+    if (end == RunEnd::FAILED && !spec.m_isLongRunning &&
+        countFailure(record, run, *active, wallNow)) {
         effect.m_toStop = stopAll(key.m_job, run);
         return effect;
     }
@@ -336,7 +337,7 @@
     const TaskRun* const task = run.findTask(key);
     const auto& steps = record.m_spec.m_steps;
     const bool isCounted = end == RunEnd::FAILED && task != nullptr && !run.isFinished() &&
-                           key.m_step < steps.size() && !steps[key.m_step].m_isLasting &&
+                           key.m_step < steps.size() && !steps[key.m_step].m_isLongRunning &&
                            task->m_state != TaskState::DONE && late.m_run <= task->m_lastRun;
     if (!isCounted) {
         return effect;
@@ -348,7 +349,7 @@
         return effect;
     }
     const ActiveRun failed{key, late.m_run, late.m_worker, Millis(0), false, false};
-    effect.m_isCurrent = true;
+    effect.m_isApplied = true;
     effect.m_endsJob = countFailure(record, run, failed, wallNow);
     if (effect.m_endsJob) {
         effect.m_toStop = stopAll(key.m_job, run);
@@ -378,7 +379,7 @@
            "task " + key.toText() +
                    " crashes the workers that start it: " + task->m_losses.describe(),
            wallNow);
-    effect.m_isCurrent = true;
+    effect.m_isApplied = true;
     effect.m_endsJob = true;
     effect.m_toStop = stopAll(key.m_job, run);
     return effect;
--- a/libs/job/src/PlanningPass.cpp
+++ b/libs/job/src/PlanningPass.cpp
@@ -65,12 +65,12 @@
 TaskPlan PlanningPass::run() {
     const std::vector<WaitingStep> steps = collectSteps();
     for (const WaitingStep& step : steps) {
-        m_plan.m_waiting += step.m_spec->m_isGang ? 1 : step.m_taskIndexes.size();
+        m_plan.m_waitingUnits += step.m_spec->m_isGang ? 1 : step.m_taskIndexes.size();
     }
     for (const WaitingStep& step : steps) {
         placeStep(step);
     }
-    if (m_settings.m_copies) {
+    if (m_settings.m_copiesSlowTasks) {
         copySlowTasks();
     }
     if (m_settings.m_migratesOffLeaving) {
@@ -177,7 +177,7 @@
 
 void PlanningPass::recordSuspectRun(const TaskRun& task) {
     const auto slot = findSlot(task.m_worker);
-    if (slot.has_value() && task.m_losses.isRisk(m_wallNow - task.m_placedAt)) {
+    if (slot.has_value() && task.m_losses.mayCrashWorker(m_wallNow - task.m_placedAt)) {
         m_workerStates[*slot].m_hasSuspectRun = true;
         m_hasSuspectRuns = true;
     }
@@ -204,7 +204,7 @@
     constexpr double RESTART_MS = 300.0;
     const bool losesNoProgress = spec.m_savesProgress || run.m_isCopy;
     const double lost = losesNoProgress ? 0.0 : std::max(0.0, elapsed);
-    occupant.m_preemptionCost = getCores(spec.m_need) * (lost + RESTART_MS);
+    occupant.m_preemptionCost = getCoreEquivalent(spec.m_need) * (lost + RESTART_MS);
 }
 
 /** Computes the free capacity; m_overcommitted contains the demand of all active runs before. */
@@ -374,7 +374,7 @@
 
 /** Adds the placements of a unit to the plan, and updates the state of the workers. */
 void PlanningPass::commit(const WorkUnit& unit, const Assignment& assignment) {
-    --m_plan.m_waiting;
+    --m_plan.m_waitingUnits;
     const bool isCounted = unit.getSpec().m_maxPerWorker > 0;
     if (isCounted) {
         countTasksPerWorker(unit);
--- a/libs/job/src/PlanningPassCapacity.cpp
+++ b/libs/job/src/PlanningPassCapacity.cpp
@@ -53,14 +53,14 @@
         return false;
     }
     return !state.m_reservationStartsIn.has_value() ||
-           (!spec.m_isLasting && spec.m_estimate < *state.m_reservationStartsIn);
+           (!spec.m_isLongRunning && spec.m_estimate < *state.m_reservationStartsIn);
 }
 
 /** Allows remote work once the unit has waited for more than the additional run time. */
 bool PlanningPass::allowsRemote(const WorkUnit& unit) const {
     const auto estimate = static_cast<double>(unit.getSpec().m_estimate.count());
     const auto waited = static_cast<double>((m_wallNow - unit.m_waitingStep->m_dueAt).count());
-    return waited > (m_settings.m_farFactor - 1.0) * estimate;
+    return waited > (m_settings.m_remoteFactor - 1.0) * estimate;
 }
 
 DomainId PlanningPass::getTopologyDomain(const WorkUnit& unit, WorkerSlot slot) const {
--- a/libs/job/src/PlanningPassPreemption.cpp
+++ b/libs/job/src/PlanningPassPreemption.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-double getCores(const Resources& need) {
+double getCoreEquivalent(const Resources& need) {
     return need.m_cpuMillis / MILLIS_PER_CORE + CORES_PER_ACCELERATOR * need.m_accelerators;
 }
 
@@ -31,7 +31,7 @@
 
 bool PlanningPass::mayInterrupt(const Occupant& occupant) const {
     const StepSpec& spec = *occupant.m_spec;
-    return !spec.m_isLasting || spec.m_maxUnavailable == 0 ||
+    return !spec.m_isLongRunning || spec.m_maxUnavailable == 0 ||
            countUnavailable(occupant) < spec.m_maxUnavailable;
 }
 
@@ -53,7 +53,7 @@
 /** Waits for runs that are about to end instead of preempting them, within the unit's limits. */
 bool PlanningPass::waitForEnds(const WorkUnit& unit) {
     const auto estimate = static_cast<double>(unit.getSpec().m_estimate.count());
-    const Millis share(static_cast<std::int64_t>(m_settings.m_waitShare * estimate));
+    const Millis share(static_cast<std::int64_t>(m_settings.m_preemptionDelayShare * estimate));
     const Millis waited = m_wallNow - unit.m_waitingStep->m_dueAt;
     const Millis budget = std::min(share, m_settings.m_maxPreemptionDelay) - waited;
     if (budget <= Millis(0)) {
@@ -127,7 +127,8 @@
 /** Guaranteed units may always preempt; for other urgent units the lost work is limited. */
 bool PlanningPass::isPreemptionJustified(const WorkUnit& unit, double preemptionCost) const {
     const StepSpec& spec = unit.getSpec();
-    const double own = getCores(spec.m_need) * static_cast<double>(unit.m_taskIndexes.size()) *
+    const double own = getCoreEquivalent(spec.m_need) *
+                       static_cast<double>(unit.m_taskIndexes.size()) *
                        static_cast<double>(spec.m_estimate.count());
     return unit.m_waitingStep->m_isGuaranteed ||
            preemptionCost <= m_settings.m_maxWastedWork * MILLIS_PER_SECOND +
@@ -197,7 +198,7 @@
 /** Returns the weighted core-milliseconds that a member takes longer than at normal speed. */
 double PlanningPass::getSlownessCost(const WorkUnit& unit, WorkerSlot slot) const {
     const StepSpec& spec = unit.getSpec();
-    return m_settings.m_preemptionSpeedWeight * getCores(spec.m_need) *
+    return m_settings.m_preemptionSpeedWeight * getCoreEquivalent(spec.m_need) *
            static_cast<double>(spec.m_estimate.count()) *
            (m_workerStates[slot].m_snapshot->m_slowness - 1.0);
 }
--- a/libs/job/src/PlanningPassReservations.cpp
+++ b/libs/job/src/PlanningPassReservations.cpp
@@ -19,7 +19,7 @@
 
 /** Returns the expected time until a run ends; empty for lasting tasks. */
 std::optional<Millis> PlanningPass::getExpectedRemaining(const Occupant& occupant) const {
-    if (occupant.m_spec->m_isLasting) {
+    if (occupant.m_spec->m_isLongRunning) {
         return std::nullopt;
     }
     if (const auto remaining = getRemaining(occupant)) {
@@ -117,7 +117,7 @@
 void PlanningPass::copySlowTasks() {
     for (const Occupant& occupant : m_occupants) {
         const StepSpec& spec = *occupant.m_spec;
-        const bool mayCopy = spec.m_isSpeculative && !spec.m_isGang && !spec.m_isLasting &&
+        const bool mayCopy = spec.m_isSpeculative && !spec.m_isGang && !spec.m_isLongRunning &&
                              !occupant.m_isCopy && !occupant.m_isPreempted &&
                              !occupant.m_step->hasCopy(occupant.m_index) &&
                              !occupant.m_step->m_tasks[occupant.m_index].m_losses.isSuspect();
@@ -164,7 +164,7 @@
         return mustMigrateOffEvacuated(occupant);
     }
     const StepSpec& spec = *occupant.m_spec;
-    if (spec.m_isLasting) {
+    if (spec.m_isLongRunning) {
         return mayInterrupt(occupant);
     }
     constexpr Millis MAX_LOST_TIME{700};
@@ -180,7 +180,7 @@
  */
 bool PlanningPass::mustMigrateOffEvacuated(const Occupant& occupant) const {
     const StepSpec& spec = *occupant.m_spec;
-    return m_workerStates[occupant.m_slot].m_snapshot->m_isEvacuated && spec.m_isLasting &&
+    return m_workerStates[occupant.m_slot].m_snapshot->m_isEvacuated && spec.m_isLongRunning &&
            countUnavailable(occupant) < std::max(1U, spec.m_maxUnavailable);
 }
 
--- a/libs/job/src/RunLosses.cpp
+++ b/libs/job/src/RunLosses.cpp
@@ -145,7 +145,7 @@
     });
 }
 
-bool RunLosses::isRisk(Millis age) const {
+bool RunLosses::mayCrashWorker(Millis age) const {
     constexpr int FACTOR = 2;
     return isSuspect() && age <= MIN_RISK_TIME + FACTOR * getLongestRunTime();
 }
--- a/libs/job/src/WorkerIncarnation.cpp
+++ b/libs/job/src/WorkerIncarnation.cpp
@@ -15,7 +15,7 @@
     return m_processStartedAt == 0 ? m_id : m_id + SEPARATOR + std::to_string(m_processStartedAt);
 }
 
-std::string_view getWorkerIdOf(std::string_view incarnation) {
+std::string_view parseWorkerId(std::string_view incarnation) {
     const std::size_t separator = incarnation.rfind(SEPARATOR);
     if (separator == std::string_view::npos || separator + 1 == incarnation.size()) {
         return incarnation;
--- a/libs/job/test/JobTransitionsTest.cpp
+++ b/libs/job/test/JobTransitionsTest.cpp
@@ -47,14 +47,14 @@
     EXPECT_EQ(failure.m_toStop.front().m_task, SECOND);
 
     const EndEffect rest = end(SECOND, RunEnd::STOPPED);
-    EXPECT_TRUE(rest.m_isCurrent);
+    EXPECT_TRUE(rest.m_isApplied);
     EXPECT_FALSE(rest.m_endsJob);
     EXPECT_EQ(m_run.m_phase, JobPhase::FAILED);
 }
 
 TEST_F(JobTransitionsTest, DuplicateEndIsIgnored) {
     end(FIRST, RunEnd::STOPPED);
-    EXPECT_FALSE(end(FIRST, RunEnd::DONE).m_isCurrent);
+    EXPECT_FALSE(end(FIRST, RunEnd::DONE).m_isApplied);
 }
 
 TEST_F(JobTransitionsTest, RebindsRunToNextIncarnation) {
@@ -88,8 +88,8 @@
 }  // namespace
 
 TEST_F(LostRunTest, LateFailureCountsOnce) {
-    EXPECT_TRUE(endLate(RunEnd::FAILED).m_isCurrent);
-    EXPECT_FALSE(endLate(RunEnd::FAILED).m_isCurrent);
+    EXPECT_TRUE(endLate(RunEnd::FAILED).m_isApplied);
+    EXPECT_FALSE(endLate(RunEnd::FAILED).m_isApplied);
     EXPECT_EQ(m_run.findTask(FIRST)->m_failures, 1U);
     EXPECT_EQ(m_run.m_phase, JobPhase::RUNNING);
 }
@@ -105,9 +105,9 @@
 }
 
 TEST_F(LostRunTest, OtherLateEndsHaveNoEffect) {
-    EXPECT_FALSE(endLate(RunEnd::LAPSED).m_isCurrent);
-    EXPECT_FALSE(endLate(RunEnd::DONE).m_isCurrent);
-    EXPECT_FALSE(endLate(RunEnd::FAILED, 7).m_isCurrent) << "there was no such run";
+    EXPECT_FALSE(endLate(RunEnd::LAPSED).m_isApplied);
+    EXPECT_FALSE(endLate(RunEnd::DONE).m_isApplied);
+    EXPECT_FALSE(endLate(RunEnd::FAILED, 7).m_isApplied) << "there was no such run";
     EXPECT_EQ(m_run.findTask(FIRST)->m_failures, 0U);
 }
 
@@ -115,7 +115,7 @@
 TEST_F(LostRunTest, OrphanedRunIsActiveUntilItStops) {
     ASSERT_TRUE(trackOrphanedRun(m_record, m_run, makeOrphan(1)));
     EXPECT_EQ(m_run.findTask(FIRST)->m_state, TaskState::STOPPING);
-    EXPECT_TRUE(end(FIRST, RunEnd::STOPPED).m_isCurrent);
+    EXPECT_TRUE(end(FIRST, RunEnd::STOPPED).m_isApplied);
     EXPECT_EQ(m_run.findTask(FIRST)->m_state, TaskState::WAITING);
 }
 
@@ -124,7 +124,7 @@
     ASSERT_TRUE(trackOrphanedRun(m_record, m_run, makeOrphan(1)));
     applyNotRunning(m_record, m_run, FIRST, 2, NOW);
     EXPECT_EQ(m_run.findTask(FIRST)->m_state, TaskState::STOPPING);
-    EXPECT_TRUE(end(FIRST, RunEnd::DONE).m_isCurrent);
+    EXPECT_TRUE(end(FIRST, RunEnd::DONE).m_isApplied);
     EXPECT_EQ(m_run.findTask(FIRST)->m_state, TaskState::DONE);
 }
 
--- a/libs/job/test/PlannerPropertyTest.cpp
+++ b/libs/job/test/PlannerPropertyTest.cpp
@@ -97,7 +97,8 @@
             TestJob& entry = find(placement.m_task.m_job);
             TaskKey gang = placement.m_task;
             gang.m_index = 0;
-            const std::uint32_t next = getNextRun(entry.m_record, entry.m_run, placement.m_task);
+            const std::uint32_t next =
+                    getNextRunNumber(entry.m_record, entry.m_run, placement.m_task);
             const bool isGang = entry.m_record.m_spec.m_steps[placement.m_task.m_step].m_isGang;
             const std::uint32_t run =
                     isGang ? gangRuns.try_emplace(gang, next).first->second : next;
--- a/libs/job/test/RunLossesTest.cpp
+++ b/libs/job/test/RunLossesTest.cpp
@@ -187,8 +187,8 @@
 
 TEST_F(RunLossesTest, SuspectIsRiskUntilRunTimeExceedsCrashes) {
     lose(LossCategory::SUSPECT, 1500);
-    EXPECT_TRUE(m_losses.isRisk(Millis(3900)));
-    EXPECT_FALSE(m_losses.isRisk(Millis(4100)));
+    EXPECT_TRUE(m_losses.mayCrashWorker(Millis(3900)));
+    EXPECT_FALSE(m_losses.mayCrashWorker(Millis(4100)));
     EXPECT_FALSE(m_losses.isRefutedByRunTime(Millis(60'000)));
     EXPECT_TRUE(m_losses.isRefutedByRunTime(Millis(67'000)));
 }
--- a/libs/job/test/TaskPlannerTest.cpp
+++ b/libs/job/test/TaskPlannerTest.cpp
@@ -282,7 +282,7 @@
     const TaskPlan result = plan();
     ASSERT_EQ(result.m_placements.size(), 3U);
     EXPECT_EQ(result.m_placements[0].m_task.m_job, "c");
-    EXPECT_EQ(result.m_waiting, 2U);
+    EXPECT_EQ(result.m_waitingUnits, 2U);
 }
 
 TEST_F(TaskPlannerTest, ReportsImpossibleGangAfterSmallerWaitingGang) {
--- a/libs/job/test/WorkerIncarnationTest.cpp
+++ b/libs/job/test/WorkerIncarnationTest.cpp
@@ -13,12 +13,12 @@
 }
 
 TEST(WorkerIncarnationTest, ParsesWorkerId) {
-    EXPECT_EQ(getWorkerIdOf("i-7f3a@1700000000123"), "i-7f3a");
-    EXPECT_EQ(getWorkerIdOf("i-7f3a"), "i-7f3a") << "format of earlier versions";
-    EXPECT_EQ(getWorkerIdOf("a@b"), "a@b") << "no start time";
-    EXPECT_EQ(getWorkerIdOf("a@"), "a@");
-    EXPECT_EQ(getWorkerIdOf("a@b@17"), "a@b");
-    EXPECT_EQ(getWorkerIdOf(""), "");
+    EXPECT_EQ(parseWorkerId("i-7f3a@1700000000123"), "i-7f3a");
+    EXPECT_EQ(parseWorkerId("i-7f3a"), "i-7f3a") << "format of earlier versions";
+    EXPECT_EQ(parseWorkerId("a@b"), "a@b") << "no start time";
+    EXPECT_EQ(parseWorkerId("a@"), "a@");
+    EXPECT_EQ(parseWorkerId("a@b@17"), "a@b");
+    EXPECT_EQ(parseWorkerId(""), "");
 }
 
 }  // namespace
--- a/libs/operators/include/pierbank/operators/JobBackend.h
+++ b/libs/operators/include/pierbank/operators/JobBackend.h
@@ -9,7 +9,7 @@
 #include "pierbank/control/JobCore.h"
 #include "pierbank/operators/AuditTrail.h"
 #include "pierbank/operators/OperatorServer.h"
-#include "pierbank/store/CountedStore.h"
+#include "pierbank/store/CountingStore.h"
 
 namespace pierbank {
 
@@ -35,7 +35,7 @@
             : m_loop(loop), m_core(core), m_callers(callers), m_audit(store, loop) {}
 
     /** Whose calls the metrics show; it must outlive the backend. */
-    void setCountedStore(const CountedStore& store) { m_countedStore = &store; }
+    void setCountingStore(const CountingStore& store) { m_countingStore = &store; }
 
     bool isLeading() const override { return m_core.getJobs().isLeading(); }
     std::optional<Address> getLeader() const override { return m_core.getLock().getLeader(); }
@@ -72,7 +72,7 @@
     EventLoop& m_loop;
     const JobCore& m_core;
     const CallerFigures& m_callers;
-    const CountedStore* m_countedStore = nullptr;
+    const CountingStore* m_countingStore = nullptr;
     AuditTrail m_audit;
 };
 
--- a/libs/operators/src/AuditTrail.cpp
+++ b/libs/operators/src/AuditTrail.cpp
@@ -62,7 +62,7 @@
             change.m_removals.push_back(list.m_items.front().m_key);
         }
         CommitRetryPolicy patience;
-        patience.m_limit = PATIENCE;
+        patience.m_timeLimit = PATIENCE;
         // What the change wrote may be gone by the time that a lost answer is asked for again; the
         // entry stays, and it went in together with the change.
         const auto finish = [key, value, done = std::move(done)](StoreCommit commit) {
--- a/libs/operators/src/JobBackend.cpp
+++ b/libs/operators/src/JobBackend.cpp
@@ -106,7 +106,7 @@
     if (!hosts.empty()) {
         text.append("\non ").append(hosts);
     }
-    const std::string note = m_core.getJobs().getNote(id);
+    const std::string note = m_core.getJobs().getExplanation(id);
     if (!note.empty()) {
         text.append("\nlast plan: ").append(note);
     }
@@ -142,7 +142,7 @@
         text.append(", cold for ");
         text.append(std::to_string((*coldUntil - m_loop.now()).count())).append(" ms more");
     }
-    const Millis left = host->m_grantedUntil - m_loop.now();
+    const Millis left = host->m_leaseEnd - m_loop.now();
     text.append(", its lease ends in ").append(std::to_string(left.count())).append(" ms");
     return makeAnswer(StatementStatus::DONE, std::move(text));
 }
@@ -290,7 +290,7 @@
     page.addCounter("pierbank_plans_total", "plans made", figures.m_plans);
     page.addSummary("pierbank_plan_ms", "time that a plan took", figures.m_planTime);
     page.addSummary("pierbank_first_placement_ms", "from acceptance to the first placement",
-                    figures.m_untilPlaced);
+                    figures.m_timeToFirstPlacement);
     page.addCounter("pierbank_requests_served_total", "callers' requests answered with 200",
                     m_callers.m_served);
     page.addCounter("pierbank_requests_refused_total", "callers' requests answered otherwise",
@@ -304,11 +304,11 @@
 }
 
 void JobBackend::addStoreCalls(MetricsPage& page) const {
-    if (m_countedStore == nullptr) {
+    if (m_countingStore == nullptr) {
         return;
     }
     std::map<std::string, std::uint64_t> calls;
-    for (const auto& [call, count] : m_countedStore->getCounts()) {
+    for (const auto& [call, count] : m_countingStore->getCounts()) {
         calls["kind=\"" + call.first + "\",keys=\"" + call.second + "\""] = count;
     }
     page.addCounters("pierbank_store_calls_total", "calls of the platform's store", calls);
--- a/libs/operators/src/JobBackendSubmit.cpp
+++ b/libs/operators/src/JobBackendSubmit.cpp
@@ -99,7 +99,7 @@
 
 /** What the planner would do with a job now. */
 StatementAnswer JobBackend::describeTry(const JobRecord& record) const {
-    const TaskPlan plan = m_core.getJobs().tryPlan(record);
+    const TaskPlan plan = m_core.getJobs().makeTrialPlan(record);
     std::string text = "would be accepted";
     for (const PlanExplanation& note : plan.m_explanations) {
         if (note.m_job == record.m_id) {
--- a/libs/store/include/pierbank/store/CountedStore.h
+++ b/libs/store/include/pierbank/store/CountingStore.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef PIERBANK_STORE_COUNTEDSTORE_H
-#define PIERBANK_STORE_COUNTEDSTORE_H
+#ifndef PIERBANK_STORE_COUNTINGSTORE_H
+#define PIERBANK_STORE_COUNTINGSTORE_H
 
 #include <cstdint>
 #include <map>
@@ -12,7 +12,7 @@
 namespace pierbank {
 
 /** Forwards every call to another store and counts the calls by kind and by family of keys. */
-class CountedStore final : public RecordStore {
+class CountingStore final : public RecordStore {
 public:
     /**
      * Numbers of calls by kind of call (`read`, `watch`, ...) and family of keys, which is the
@@ -21,7 +21,7 @@
     using Counts = std::map<std::pair<std::string, std::string>, std::uint64_t>;
 
     /** The store must outlive this object. */
-    explicit CountedStore(RecordStore& store) : m_store(store) {}
+    explicit CountingStore(RecordStore& store) : m_store(store) {}
 
     const Counts& getCounts() const noexcept { return m_counts; }
 
@@ -46,4 +46,4 @@
 
 }  // namespace pierbank
 
-#endif  // PIERBANK_STORE_COUNTEDSTORE_H
+#endif  // PIERBANK_STORE_COUNTINGSTORE_H
--- a/libs/store/include/pierbank/store/RecordStore.h
+++ b/libs/store/include/pierbank/store/RecordStore.h
@@ -31,7 +31,7 @@
     /** No complete answer: a write may have taken effect, or may still do so seconds later. */
     UNKNOWN,
     /** The store no longer has the changes that a watch requested: list again. */
-    HISTORY_GONE,
+    HISTORY_COMPACTED,
 };
 
 std::string_view toText(StoreStatus status);
--- a/libs/wire/include/pierbank/wire/Frame.h
+++ b/libs/wire/include/pierbank/wire/Frame.h
@@ -152,7 +152,7 @@
     /** Minimum time that a draining worker remains available. */
     std::uint64_t m_remainingMs = 0;
     /** Time until the worker is warmed up. */
-    std::uint64_t m_coldLeftMs = 0;
+    std::uint64_t m_warmUpRemainingMs = 0;
     /** Recent crashes; repeated in each notice, since the leader may be new. */
     std::vector<WorkerCrash> m_crashes;
     bool operator==(const WorkerNotice&) const = default;
--- a/libs/wire/src/FrameCodec.cpp
+++ b/libs/wire/src/FrameCodec.cpp
@@ -76,7 +76,7 @@
     archive(frame.m_incarnation, frame.m_hasExited, frame.m_service, frame.m_failureDomain,
             frame.m_rack, frame.m_labels, frame.m_cpuMillis, frame.m_memoryMb, frame.m_accelerators,
             frame.m_fullCpuMillis, frame.m_fullMemoryMb, frame.m_fullAccelerators,
-            frame.m_isDraining, frame.m_remainingMs, frame.m_coldLeftMs, frame.m_crashes);
+            frame.m_isDraining, frame.m_remainingMs, frame.m_warmUpRemainingMs, frame.m_crashes);
 }
 
 template <typename Archive>
--- a/test/failures/ColdWorkersTest.cpp
+++ b/test/failures/ColdWorkersTest.cpp
@@ -22,7 +22,7 @@
 
     void tellCold(Millis left) {
         for (std::size_t i = 0; i < 3; ++i) {
-            getSidecar(i).m_coldLeft = left;
+            getSidecar(i).m_warmUpRemaining = left;
             m_fleet.heartbeat(i);
             // Later heartbeats would say the same again and again.
             getSidecar(i).m_isMute = true;
--- a/test/failures/FormerLivesTest.cpp
+++ b/test/failures/FormerLivesTest.cpp
@@ -7,11 +7,11 @@
 namespace pierbank::testing {
 
 /** A worker crashed and came back; a heartbeat that it sent before is delivered only now. */
-class ADelayedHeartbeatOfAFormerLife : public JobFleetTest {
+class ADelayedHeartbeatOfAFormerIncarnation : public JobFleetTest {
 protected:
     void SetUp() override {
         JobFleetTest::SetUp();
-        m_former = m_fleet.makeBeat(0);
+        m_former = m_fleet.makeHeartbeat(0);
         getSidecar(0).m_worker->restart();
         m_fleet.heartbeat(0);
         m_fleet.m_loop.advance(Millis(300));
@@ -36,20 +36,20 @@
     WorkerHeartbeat m_former;
 };
 
-TEST_F(ADelayedHeartbeatOfAFormerLife, DoesNotThrowTheLivingOneAway) {
+TEST_F(ADelayedHeartbeatOfAFormerIncarnation, DoesNotThrowTheLivingOneAway) {
     m_fleet.deliver(0, m_former);
     m_fleet.m_loop.advance(Millis(300));
     EXPECT_EQ(getSidecar(0).m_worker->countRunning(), 1U);
     expectThatAllRanOnce();
 }
 
-TEST_F(ADelayedHeartbeatOfAFormerLife, DoesNotDoSoWhenItsSidecarIsNewEither) {
+TEST_F(ADelayedHeartbeatOfAFormerIncarnation, DoesNotDoSoWhenItsSidecarIsNewEither) {
     restartSidecarUnder(0, m_former);
     m_fleet.heartbeat(0);
     expectThatAllRanOnce();
 }
 
-TEST_F(ADelayedHeartbeatOfAFormerLife, DoesNotDoSoWhenTheLeaderIsNewToo) {
+TEST_F(ADelayedHeartbeatOfAFormerIncarnation, DoesNotDoSoWhenTheLeaderIsNewToo) {
     const std::size_t leader = getLeader();
     m_fleet.killSidecar(0);
     m_fleet.killGateway(leader);
--- a/test/failures/NarrowLinksTest.cpp
+++ b/test/failures/NarrowLinksTest.cpp
@@ -56,7 +56,7 @@
         request.m_host = JobFleet::HOST;
         request.m_path = "/batch/00000000000000" + std::to_string(10 + m_jobs.size());
         request.m_key = JobFleet::KEY;
-        request.m_patience = Millis(3000);
+        request.m_timeout = Millis(3000);
         request.m_body = std::string(R"({"spec":"300","steps":[)") + SMALL + "]}";
         HandedIn& job = m_jobs.emplace_back();
         job.m_at = m_fleet.m_loop.now();
--- a/test/failures/RequestFailuresTest.cpp
+++ b/test/failures/RequestFailuresTest.cpp
@@ -122,11 +122,11 @@
     request.m_path = "/batch/" + idOf(31);
     request.m_key = JobFleet::KEY;
     request.m_body = R"({"spec":"300","steps":[)" + std::string(SMALL) + "]}";
-    request.m_patience = Millis(250);
+    request.m_timeout = Millis(250);
     IntakeAnswer answer;
     m_fleet.m_gateways[gateway].m_core->getIntake().handle(
             request, [&](const IntakeAnswer& told) { answer = told; });
-    m_fleet.m_loop.advance(request.m_patience);
+    m_fleet.m_loop.advance(request.m_timeout);
     EXPECT_EQ(answer.m_status, 200U) << answer.m_reason;
 }
 
--- a/test/failures/RestartFailuresTest.cpp
+++ b/test/failures/RestartFailuresTest.cpp
@@ -135,7 +135,7 @@
     void SetUp() override {
         AWorkerThatRestartsUnderItsId::SetUp();
         runSome();
-        m_former = m_fleet.makeBeat(0);
+        m_former = m_fleet.makeHeartbeat(0);
         m_former.m_isDraining = true;
         m_former.m_remaining = Millis(60'000);
         m_former.m_sequence = 1'000'000;
--- a/test/failures/RestartSeedsTest.cpp
+++ b/test/failures/RestartSeedsTest.cpp
@@ -50,7 +50,7 @@
                 worker.m_stopsToDelay = 1;
                 break;
             case 6:
-                m_late.emplace_back(place, fleet.makeBeat(place));
+                m_late.emplace_back(place, fleet.makeHeartbeat(place));
                 break;
             case 7:
                 if (!m_late.empty()) {
@@ -75,7 +75,7 @@
         m_late.pop_back();
         WorkerAgent& agent = *fleet.m_sidecars[place].m_agent;
         const bool isFinished =
-                fleet.m_sidecars[place].m_worker->getLife() != heartbeat.m_incarnation;
+                fleet.m_sidecars[place].m_worker->getIncarnation() != heartbeat.m_incarnation;
         if (isFinished && random.below(2) == 0) {
             agent.handleLeave({heartbeat.m_incarnation.m_id,
                                random.below(2) * heartbeat.m_incarnation.m_processStartedAt});
--- a/test/failures/ScheduleFailuresTest.cpp
+++ b/test/failures/ScheduleFailuresTest.cpp
@@ -285,7 +285,7 @@
     for (const JobFleet::Gateway& gateway : m_fleet.m_gateways) {
         m_fleet.m_network.heal(gateway.m_name, sidecar.m_name);
     }
-    m_fleet.m_loop.advance(Registration::CHECK + Millis(2000));
+    m_fleet.m_loop.advance(Registration::CHECK_INTERVAL + Millis(2000));
     EXPECT_TRUE(sidecar.m_agent->hasLeader());
 }
 
--- a/test/failures/StepFeaturesTest.cpp
+++ b/test/failures/StepFeaturesTest.cpp
@@ -118,7 +118,7 @@
     EXPECT_TRUE(m_fleet.waitForState(OTHER_ID, "succeeded", Millis(2000)));
 }
 
-TEST_F(AdviceTest, ANewLifeOfAWorkerIsAskedAboutAnew) {
+TEST_F(AdviceTest, ANewIncarnationOfAWorkerIsAskedAboutAnew) {
     m_fleet.m_advisor.m_allowed = {getSidecar(2).m_worker->getId()};
     m_fleet.submit(ID, SMALL, "3000");
     m_fleet.m_loop.advance(Millis(500));
--- a/test/failures/WorkerFailuresTest.cpp
+++ b/test/failures/WorkerFailuresTest.cpp
@@ -325,14 +325,14 @@
     m_fleet.m_loop.advance(Millis(1500));
     std::uint64_t kept = 0;
     for (auto& sidecar : m_fleet.m_sidecars) {
-        kept += sidecar.m_worker->getLastKept();
+        kept += sidecar.m_worker->getLastPersisted();
     }
     EXPECT_EQ(kept, 0U);
     m_fleet.m_state.m_isDown = false;
     EXPECT_TRUE(m_fleet.waitForState(ID, "succeeded", Millis(5000)));
     m_fleet.m_loop.advance(Millis(1000));
     for (auto& sidecar : m_fleet.m_sidecars) {
-        kept += sidecar.m_worker->getLastKept();
+        kept += sidecar.m_worker->getLastPersisted();
     }
     EXPECT_EQ(kept, 1U);
 }
--- a/test/soak/mutants.sh
+++ b/test/soak/mutants.sh
@@ -39,7 +39,7 @@
     soak_options=()
     case $1 in
     lost-without-waiting) # nothing runs twice
-        replace libs/control/src/WorkerPool.cpp 'now > host.m_grantedUntil) {' \
+        replace libs/control/src/WorkerPool.cpp 'now > host.m_leaseEnd) {' \
             'now > host.m_lastReceivedAt + Millis(1500)) {' ;;
     taken-before-kept) # nothing accepted is lost
         replace libs/control/src/JobIntake.cpp 'case StoreStatus::UNKNOWN:
@@ -64,9 +64,12 @@
             'return m_evacuations.getDomains().count(domain) != 0 || isEvacuatedByStatement(domain);' \
             'return isEvacuatedByStatement(domain);' ;;
     stop-is-not-sent) # cancelled work is gone
-        replace libs/control/src/JobController.cpp \
-            'entry.m_messages.push_back({run.m_worker.m_host, RunStop{' \
-            'entry.m_messages.push_back({std::string(), RunStop{' ;;
+        replace libs/control/src/JobControllerOrders.cpp 'entry.m_pendingMessages.push_back(
+                {run.m_worker.m_host,
+                 RunStop{' \
+            'entry.m_pendingMessages.push_back(
+                {std::string(),
+                 RunStop{' ;;
     done-too-early) # whole answers to the right caller
         replace libs/control/src/JobIntakeReads.cpp 'm_codec.writePhase(run->m_phase)' \
             'm_codec.writePhase(run->m_hasStarted ? JobPhase::SUCCEEDED : run->m_phase)' ;;
--- a/test/support/FakeAdvisor.h
+++ b/test/support/FakeAdvisor.h
@@ -16,20 +16,20 @@
     explicit FakeAdvisor(EventLoop& loop) : m_loop(loop) {}
 
     void advise(const std::string& step, const std::vector<std::string>& incarnations,
-                Millis patience, std::function<void(const AdviceReply&)> done) override {
+                Millis timeout, std::function<void(const AdviceReply&)> done) override {
         constexpr Millis LATENCY{50};
         ++m_questions;
         m_mostAtOnce = std::max(m_mostAtOnce, ++m_open);
         AdviceReply reply;
-        reply.m_isGood = !m_isDown;
+        reply.m_isComplete = !m_isDown;
         for (const std::string& incarnation : incarnations) {
-            const std::string id(getWorkerIdOf(incarnation));
+            const std::string id(parseWorkerId(incarnation));
             if (m_allowed.count(id) != 0) {
                 reply.m_workers.push_back({incarnation, "ticket-" + id});
             }
         }
         static_cast<void>(step);
-        m_loop.callLater(m_isDown ? patience : LATENCY, [this, reply, done = std::move(done)] {
+        m_loop.callLater(m_isDown ? timeout : LATENCY, [this, reply, done = std::move(done)] {
             --m_open;
             done(reply);
         });
--- a/test/support/FakeRecordStore.cpp
+++ b/test/support/FakeRecordStore.cpp
@@ -259,7 +259,7 @@
         changes.m_at = after;
         const bool isGone = after < m_state.m_historyFrom;
         if (status == StoreStatus::OK && isGone) {
-            changes.m_status = StoreStatus::HISTORY_GONE;
+            changes.m_status = StoreStatus::HISTORY_COMPACTED;
         }
         if (changes.m_status != StoreStatus::OK) {
             done(changes);
--- a/test/support/FakeTaskWorker.cpp
+++ b/test/support/FakeTaskWorker.cpp
@@ -195,7 +195,7 @@
         return {WorkerStatus::REFUSED, "ticket"};
     }
     m_runs[start.m_task] = makeRun(start);
-    m_witness.noteStart(start.m_task, start.m_run, m_name);
+    m_witness.recordRunStart(start.m_task, start.m_run, m_name);
     note("start", start.m_task, start.m_run);
     return {WorkerStatus::OK, ""};
 }
@@ -372,7 +372,7 @@
             continue;
         }
         if (end.m_end == RunEnd::DONE) {
-            m_witness.noteKept(end.m_task);
+            m_witness.recordPersisted(end.m_task);
         }
         m_witness.noteCounted(end.m_task, end.m_end, m_endEvents[end.m_number]);
     }
--- a/test/support/FakeTaskWorker.h
+++ b/test/support/FakeTaskWorker.h
@@ -65,9 +65,9 @@
     bool isDown() const { return m_isDown; }
     bool isSuspended() const { return m_suspendedAt.has_value(); }
     const std::string& getId() const { return m_id; }
-    WorkerIncarnation getLife() const { return {m_id, m_processStartedAt}; }
+    WorkerIncarnation getIncarnation() const { return {m_id, m_processStartedAt}; }
     /** Number of the next heartbeat; counts from 1 in each process. */
-    std::uint64_t countBeat() { return ++m_beats; }
+    std::uint64_t countHeartbeat() { return ++m_beats; }
     /** So many of the next starts are carried out this much later and not answered. */
     unsigned m_startsToDelay = 0;
     Millis m_startDelay{2000};
@@ -95,7 +95,7 @@
     bool m_isSilent = false;
     std::size_t countRunning() const { return m_runs.size(); }
     bool isRunning(const TaskKey& task) const { return m_runs.count(task) != 0; }
-    std::uint64_t getLastKept() const { return m_lastPersisted; }
+    std::uint64_t getLastPersisted() const { return m_lastPersisted; }
     std::uint64_t getFence() const { return m_fence; }
     Millis getClock() const;
     /** What it started and ended, as JSON: rows of what, task, run, time in ms. */
--- a/test/support/JobFleet.cpp
+++ b/test/support/JobFleet.cpp
@@ -34,7 +34,7 @@
         m_gateways[i].m_name = "gateway-" + std::to_string(i);
         startGateway(i);
     }
-    keepBeating();
+    keepSendingHeartbeats();
 }
 
 void JobFleet::configure(const std::vector<std::string>& keys) {
@@ -116,19 +116,19 @@
     sidecar.m_loop.reset();
 }
 
-WorkerHeartbeat JobFleet::makeBeat(std::size_t place) {
+WorkerHeartbeat JobFleet::makeHeartbeat(std::size_t place) {
     Sidecar& sidecar = m_sidecars[place];
     WorkerHeartbeat heartbeat;
-    heartbeat.m_incarnation = sidecar.m_worker->getLife();
+    heartbeat.m_incarnation = sidecar.m_worker->getIncarnation();
     heartbeat.m_service = "s";
     heartbeat.m_rack = "r" + std::to_string(place / 2);
     heartbeat.m_labels = {"a", heartbeat.m_rack};
     heartbeat.m_capacity = sidecar.m_capacity;
     heartbeat.m_isDraining = sidecar.m_isDraining;
     heartbeat.m_remaining = sidecar.m_remaining;
-    heartbeat.m_coldLeft = sidecar.m_coldLeft;
+    heartbeat.m_warmUpRemaining = sidecar.m_warmUpRemaining;
     heartbeat.m_failureDomain = "d" + std::to_string(place / 4);
-    heartbeat.m_sequence = sidecar.m_worker->countBeat();
+    heartbeat.m_sequence = sidecar.m_worker->countHeartbeat();
     return heartbeat;
 }
 
@@ -138,7 +138,7 @@
         sidecar.m_worker->isSuspended()) {
         return;
     }
-    deliver(place, makeBeat(place));
+    deliver(place, makeHeartbeat(place));
 }
 
 void JobFleet::deliver(std::size_t place, const WorkerHeartbeat& heartbeat) {
@@ -151,11 +151,11 @@
     }
 }
 
-void JobFleet::keepBeating() {
+void JobFleet::keepSendingHeartbeats() {
     for (std::size_t i = 0; i < m_sidecars.size(); ++i) {
         heartbeat(i);
     }
-    m_loop.callLater(BEAT_INTERVAL, [this] { keepBeating(); });
+    m_loop.callLater(BEAT_INTERVAL, [this] { keepSendingHeartbeats(); });
 }
 
 IntakeAnswer JobFleet::ask(std::size_t gateway, const std::string& method, const std::string& path,
--- a/test/support/JobFleet.h
+++ b/test/support/JobFleet.h
@@ -53,7 +53,7 @@
         /** While it drains: the least time that it stays. */
         Millis m_remaining{0};
         /** How much longer its worker is slow. */
-        Millis m_coldLeft{0};
+        Millis m_warmUpRemaining{0};
     };
 
     /** @param taskCost what each task takes of a gateway's processor, in microseconds. */
@@ -72,7 +72,7 @@
     void killSidecar(std::size_t place);
     void heartbeat(std::size_t place);
     /** What a worker would say of itself now; delivered later, it is a delayed heartbeat. */
-    WorkerHeartbeat makeBeat(std::size_t place);
+    WorkerHeartbeat makeHeartbeat(std::size_t place);
     void deliver(std::size_t place, const WorkerHeartbeat& heartbeat);
     /** All workers are back after crashes in this form. */
     void setRestartForm(RestartForm form);
@@ -107,7 +107,7 @@
     std::vector<Sidecar> m_sidecars;
 
 private:
-    void keepBeating();
+    void keepSendingHeartbeats();
     const std::int64_t m_taskCost;
     std::uint64_t m_version = 0;
 };
--- a/test/support/RunWitness.cpp
+++ b/test/support/RunWitness.cpp
@@ -5,7 +5,7 @@
 
 namespace pierbank::testing {
 
-void RunWitness::noteStart(const TaskKey& task, std::uint32_t run, const std::string& worker) {
+void RunWitness::recordRunStart(const TaskKey& task, std::uint32_t run, const std::string& worker) {
     ++m_starts[task];
     if (m_running.count(task) != 0) {
         m_violations.push_back(task.toText() + " run " + std::to_string(run) + " on " + worker +
--- a/test/support/RunWitness.h
+++ b/test/support/RunWitness.h
@@ -15,11 +15,11 @@
 /** What all workers of a test saw together, and what must never be. */
 class RunWitness {
 public:
-    void noteStart(const TaskKey& task, std::uint32_t run, const std::string& worker);
+    void recordRunStart(const TaskKey& task, std::uint32_t run, const std::string& worker);
     void noteStop(const TaskKey& task, const std::string& worker);
     /** A run ended well; until its worker was told to forget that, it may have to run again. */
     void noteDone(const TaskKey& task) { m_done.insert(task); }
-    void noteKept(const TaskKey& task) { m_kept.insert(task); }
+    void recordPersisted(const TaskKey& task) { m_kept.insert(task); }
     /** A run ended; the number names this end, and rises. */
     std::size_t recordRunEnd() { return ++m_events; }
     /** That end was taken note of, in time: what it counts for counts from when it came. */
