--- a/libs/control/include/pierbank/control/JobController.h
+++ b/libs/control/include/pierbank/control/JobController.h
@@ -227,8 +227,7 @@
     TaskPlan makeTrialPlan(const JobRecord& record) const;
     /** Returns the counters and latencies, which a change of leadership does not reset. */
     const JobStatistics& getStatistics() const noexcept { return m_statistics; }
-    /** Returns the weight, 0 to 100, that plans use: the last one set by an operator's statement.
-     */
+    /** Returns the fragmentation weight, 0 to 100, that plans use at present. */
     std::uint32_t getFragmentationWeight() const noexcept { return m_currentFragmentationWeight; }
     /** Returns an operator's decision about a worker; RELEASE if there is none. */
     WorkerAdminState getAdminState(const std::string& host) const;
--- a/libs/control/src/JobControllerView.cpp
+++ b/libs/control/src/JobControllerView.cpp
@@ -94,8 +94,7 @@
            m_loop.now() - (m_loop.wallNow() - activeRun->m_placedAt) < *coldUntil;
 }
 
-/** @param advisedWorkers receives the advised workers that the result points to; must outlive it.
- */
+/** @param advisedWorkers receives the objects that the result points to; must outlive it. */
 std::vector<PlannedJob> JobController::listJobs(std::vector<AdvisedWorkers>& advisedWorkers) const {
     std::vector<PlannedJob> jobs;
     advisedWorkers.reserve(m_jobs.size());
