--- a/libs/control/include/pierbank/control/JobIntake.h
+++ b/libs/control/include/pierbank/control/JobIntake.h
@@ -38,9 +38,7 @@
 struct IntakeAnswer {
     std::uint32_t m_status = 503;
     std::string m_body;
-    /**
-     * Delay after which the caller should retry, if the refusal may be temporary; otherwise zero.
-     */
+    /** Delay after which the caller should retry if the refusal may be temporary; else zero. */
     Millis m_retryAfter{0};
     /** Reason for the answer, for the log. */
     std::string m_reason;
@@ -70,8 +68,8 @@
     /** Whether slow submissions are also relayed to the leader after m_hedgeDelay. */
     bool m_hedgesSubmissions = true;
     /**
-     * Whether requests that this gateway can't complete are relayed to the leader. This
-     * clearly improves the service of a small fleet during faults.
+     * Whether requests that this gateway can't complete are relayed to the leader. This clearly
+     * improves the service of a small fleet during faults.
      */
     bool m_relaysRequests = true;
     /**
@@ -92,7 +90,7 @@
     /** Returns whether the leader is reachable. */
     virtual bool isUsable() const = 0;
     /** Relays a request. `done` is called once, with an empty value if no answer came in time. */
-    virtual void relay(const IntakeRequest& request, Millis patience,
+    virtual void relay(const IntakeRequest& request, Millis timeout,
                        std::function<void(const std::optional<IntakeAnswer>&)> done) = 0;
     /**
      * Queries the numbers of pending jobs. `done` is called once, with an empty value if no answer
--- a/libs/control/src/ConfigurationFeed.cpp
+++ b/libs/control/src/ConfigurationFeed.cpp
@@ -33,7 +33,10 @@
     return m_loop.now() - *m_confirmedAt;
 }
 
-/** Reads even with a usable source while the store is lost, in order to detect its return. */
+/**
+ * With a usable source, reads the store only while the store is lost, in order to detect its
+ * return, or when the copy is too old.
+ */
 void ConfigurationFeed::poll() {
     const auto age = getAge();
     const bool isOld = m_configuration.has_value() && *age > m_settings.m_maxNoticeAge;
--- a/libs/control/src/JobIntake.cpp
+++ b/libs/control/src/JobIntake.cpp
@@ -320,7 +320,7 @@
 void JobIntake::answer(const CallPtr& call, std::uint32_t status, std::string body,
                        std::string_view reason) {
     if (std::exchange(call->m_isAnswered, true)) {
-        // The other of the two paths, this gateway or the leader, was faster.
+        // The request was sent to the store and to the leader, and the other answer came first.
         return;
     }
     IntakeAnswer answer;
@@ -330,8 +330,8 @@
     const QueuePolicy policy =
             isRouted ? call->m_policy : call->m_likelyPolicy.value_or(QueuePolicy());
     if (status == HTTP_UNAVAILABLE) {
-        // During an outage no configuration can be confirmed; the local one suffices to determine
-        // who is urgent.
+        // During an outage no configuration can be confirmed. The local configuration suffices to
+        // determine whether a caller is urgent.
         const bool isUrgent = !policy.m_queue.empty() && policy.m_priority == 0;
         const RefusedCaller caller{call->m_id, isUrgent, getTimeLeft(*call)};
         answer.m_retryAfter = m_retryAfterPolicy.getRetryDelay(caller, m_loop.now());
