--- a/libs/control/src/LeaderLock.cpp
+++ b/libs/control/src/LeaderLock.cpp
@@ -38,7 +38,7 @@
 void LeaderLock::pollLater(Millis delay) {
     m_loop.callLater(delay, [this, poll = std::weak_ptr(m_poll)] {
         if (!poll.expired()) {
-            readKey();
+            this->readKey();
         }
     });
 }
