--- a/bench/fleet/main.cpp
+++ b/bench/fleet/main.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 /*
- * pierbank-fleet: a store, and sidecars with workers, of any number, in one process on loopback. A
- * real gateway that leads them can be measured and profiled at the size of a whole fleet:
+ * pierbank-fleet: runs a store and any number of sidecars with workers in one process on loopback,
+ * so that a real gateway that leads them can be measured and profiled at the size of a whole fleet:
  *
  *     pierbank-fleet --store 127.0.0.1:7001 --workers 800 &
  *     pierbank-gateway --settings gateway.ini &
@@ -28,10 +28,11 @@
 namespace po = boost::program_options;
 
 constexpr int EXIT_USAGE = 2;
-constexpr Millis BEAT_INTERVAL{1500};
-constexpr std::size_t WORKERS_A_RACK = 8;
-constexpr std::size_t WORKERS_A_DOMAIN = 160;
+constexpr Millis HEARTBEAT_INTERVAL{1500};
+constexpr std::size_t WORKERS_PER_RACK = 8;
+constexpr std::size_t WORKERS_PER_DOMAIN = 160;
 
+/** A worker with its sidecar and the topology domains of both. */
 struct Host {
     std::unique_ptr<FakeTaskWorker> m_worker;
     std::unique_ptr<SocketTransport> m_transport;
@@ -40,13 +41,15 @@
     std::string m_domain;
 };
 
-Address makeAddress(std::size_t place) {
-    constexpr std::size_t A_NET = 250;
+/** Returns the loopback address of a sidecar: 127.1.NET.HOST with up to 250 hosts in a net. */
+Address makeAddress(std::size_t index) {
+    constexpr std::size_t HOSTS_PER_NET = 250;
     constexpr std::uint16_t PORT = 7700;
-    const std::string net = std::to_string(10 + place / A_NET);
-    return {"127.1." + net + "." + std::to_string(place % A_NET + 1), PORT};
+    const std::string net = std::to_string(10 + index / HOSTS_PER_NET);
+    return {"127.1." + net + "." + std::to_string(index % HOSTS_PER_NET + 1), PORT};
 }
 
+/** Sends a heartbeat of the worker to its sidecar. */
 void heartbeat(Host& host) {
     WorkerHeartbeat heartbeat;
     heartbeat.m_incarnation = host.m_worker->getIncarnation();
@@ -63,16 +66,16 @@
     for (Host& host : hosts) {
         heartbeat(host);
     }
-    loop.callLater(BEAT_INTERVAL, [&loop, &hosts] { keepSendingHeartbeats(loop, hosts); });
+    loop.callLater(HEARTBEAT_INTERVAL, [&loop, &hosts] { keepSendingHeartbeats(loop, hosts); });
 }
 
-/** @return false with `reason` when an address is not free. */
-bool startHost(EventLoop& loop, RunWitness& witness, FakeStoreState& store, std::size_t place,
+/** Starts a worker with its sidecar. Returns false, and sets `reason`, if its address is in use. */
+bool startHost(EventLoop& loop, RunWitness& witness, FakeStoreState& store, std::size_t index,
                Host& host, Reason& reason) {
-    const Address address = makeAddress(place);
-    host.m_rack = "r" + std::to_string(place / WORKERS_A_RACK);
-    host.m_domain = "d" + std::to_string(place / WORKERS_A_DOMAIN);
-    host.m_worker = std::make_unique<FakeTaskWorker>(loop, witness, "w" + std::to_string(place));
+    const Address address = makeAddress(index);
+    host.m_rack = "r" + std::to_string(index / WORKERS_PER_RACK);
+    host.m_domain = "d" + std::to_string(index / WORKERS_PER_DOMAIN);
+    host.m_worker = std::make_unique<FakeTaskWorker>(loop, witness, "w" + std::to_string(index));
     host.m_transport = std::make_unique<SocketTransport>();
     host.m_agent = std::make_unique<WorkerAgent>(loop, *host.m_worker, WorkerAgentSettings());
     const auto onLink = [agent = host.m_agent.get()](std::shared_ptr<Link> link) {
@@ -108,9 +111,9 @@
         return EXIT_USAGE;
     }
     std::vector<Host> hosts(workers);
-    for (std::size_t place = 0; place < workers; ++place) {
-        if (!startHost(loop, witness, store.getState(), place, hosts[place], reason)) {
-            std::cerr << "worker " << place << ": " << reason << "\n";
+    for (std::size_t index = 0; index < workers; ++index) {
+        if (!startHost(loop, witness, store.getState(), index, hosts[index], reason)) {
+            std::cerr << "worker " << index << ": " << reason << "\n";
             return EXIT_USAGE;
         }
     }
--- a/bench/plots/plot.sh
+++ b/bench/plots/plot.sh
@@ -1,14 +1,14 @@
 #!/usr/bin/env bash
-# Plots a replay's lines (pierbank-replay > FILE) as grouped bars, one picture a measure:
+# Plots the output of pierbank-replay as grouped bar charts, one image for each measure:
 #     bench/plots/plot.sh FILE FOLDER
 # Needs gnuplot (Debian package gnuplot-nox).
 set -euo pipefail
-lines=${1:?the output of pierbank-replay}
-out=${2:?the folder for the pictures}
+lines=${1:?the file with the output of pierbank-replay}
+out=${2:?the folder for the images}
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
 
-# plot NAME COLUMN TITLE HOW : the mean over seeds, or the largest.
+# plot NAME COLUMN TITLE HOW: plots a column of FILE, by HOW as the mean or the maximum over the seeds.
 plot() {
     awk -F'\t' -v column="$2" -v how="$4" '
         $1 == "workload" || NF < 16 { next }
--- a/bench/replay/Policies.h
+++ b/bench/replay/Policies.h
@@ -11,66 +11,70 @@
 
 namespace pierbank::replay {
 
-/** What a policy sees. */
-struct Scene {
+/** Input of a policy: the state of workers and jobs at one point of virtual time. */
+struct PolicyInput {
     const std::vector<WorkerSnapshot>& m_workers;
     const std::vector<PlannedJob>& m_jobs;
-    /** Until running tasks end, as they were declared. */
+    /** Remaining time of active tasks, by their declared run times. */
     const std::map<TaskKey, Millis>& m_remaining;
     const std::map<std::string, std::uint32_t>& m_guarantees;
     Millis m_now{0};
 };
 
-/** A policy that a replay asks after each event. */
+/** Scheduling policy under replay; plan() is called once after all events of one time. */
 class ReplayPolicy {
 public:
     virtual ~ReplayPolicy() = default;
-    virtual TaskPlan plan(const Scene& scene) = 0;
+    virtual TaskPlan plan(const PolicyInput& input) = 0;
 };
 
-/** The project's own planner. */
+/** Runs pierbank's TaskPlanner. */
 class PierbankPolicy final : public ReplayPolicy {
 public:
     explicit PierbankPolicy(const TaskPlannerSettings& settings) : m_planner(settings) {}
-    TaskPlan plan(const Scene& scene) override;
+    TaskPlan plan(const PolicyInput& input) override;
 
 private:
     const TaskPlanner m_planner;
 };
 
-/** Free accelerators by worker, in the order of the workers. */
-using Free = std::vector<std::uint32_t>;
-/** Workers' places, one a member. */
-using Choice = std::vector<std::size_t>;
+/** Number of free accelerators of each worker, in the order of the workers. */
+using FreeAccelerators = std::vector<std::uint32_t>;
+/** Index of the worker chosen for each member. */
+using WorkerChoice = std::vector<std::size_t>;
 
-/** Jobs in order of arrival, each wherever `choose` finds room; those that fit may pass. */
-class InOrderOfArrival : public ReplayPolicy {
+/**
+ * Places jobs in order of arrival on the workers that choose() returns. A job that does not fit
+ * waits, and later jobs may start before it.
+ */
+class ArrivalOrderPolicy : public ReplayPolicy {
 public:
-    TaskPlan plan(const Scene& scene) final;
+    TaskPlan plan(const PolicyInput& input) final;
 
 protected:
-    /** Workers for a job; empty when there is no room for it. */
-    virtual std::optional<Choice> choose(const Scene& scene, const JobRecord& record,
-                                         const Free& free) = 0;
+    /** Chooses workers for a job; returns nothing if the free capacity is insufficient. */
+    virtual std::optional<WorkerChoice> choose(const PolicyInput& input, const JobRecord& record,
+                                               const FreeAccelerators& free) = 0;
 };
 
-/** The first workers in their order that hold the job. */
-class FirstFitFifo final : public InOrderOfArrival {
-    std::optional<Choice> choose(const Scene& scene, const JobRecord& record,
-                                 const Free& free) override;
+/** Chooses the first workers in their order that fit the job. */
+class FirstFitFifo final : public ArrivalOrderPolicy {
+    std::optional<WorkerChoice> choose(const PolicyInput& input, const JobRecord& record,
+                                       const FreeAccelerators& free) override;
 };
 
-/** The workers of which least is left; no guarantees, reservations or preemption. */
-class BestFit final : public InOrderOfArrival {
-    std::optional<Choice> choose(const Scene& scene, const JobRecord& record,
-                                 const Free& free) override;
+/** Chooses the workers with the least free capacity; no guarantees, reservations or preemption. */
+class BestFit final : public ArrivalOrderPolicy {
+    std::optional<WorkerChoice> choose(const PolicyInput& input, const JobRecord& record,
+                                       const FreeAccelerators& free) override;
 };
 
-/** Each organisation has workers of its own, as many as its part of the guarantees. */
-class StaticPartitions final : public InOrderOfArrival {
-    std::optional<Choice> choose(const Scene& scene, const JobRecord& record,
-                                 const Free& free) override;
+/** Gives each organisation a fixed set of workers in proportion to its guarantee. */
+class StaticPartitions final : public ArrivalOrderPolicy {
+    std::optional<WorkerChoice> choose(const PolicyInput& input, const JobRecord& record,
+                                       const FreeAccelerators& free) override;
 
+    /** Organisation of each worker, set by the first choice. */
     std::vector<std::string> m_ownerOf;
 };
 
--- a/bench/replay/Replay.h
+++ b/bench/replay/Replay.h
@@ -9,7 +9,7 @@
 
 namespace pierbank::replay {
 
-/** What a replay measured. Times in hours unless the name says otherwise. */
+/** Results of a replay. Times are in hours unless the name has another unit. */
 struct Measures {
     double m_meanCompletion = 0;
     double m_95thCompletion = 0;
@@ -17,24 +17,24 @@
     double m_95thSlowdown = 0;
     double m_longestLargeWait = 0;
     /**
-     * Share of the idle accelerators that could not serve gangs of the guaranteed size, over the
-     * time at which at least as many as one needs were idle.
+     * Mean share of the idle accelerators that gangs of the guaranteed size could not use, over the
+     * time in which at least as many accelerators were idle as one such gang needs.
      */
     double m_fragmentation = 0;
     /** Longest time from the arrival of an urgent job to its first start, in seconds. */
     double m_longestUrgentSeconds = 0;
-    /** Accelerator hours run again because of preemption, as a part of all work. */
+    /** Accelerator hours repeated because of preemption, as a share of all work. */
     double m_lostWork = 0;
-    /** Jain's index over the organisations' mean speeds (one over slowdown). */
+    /** Jain's fairness index of the organisations' mean speeds (the reciprocal of slowdown). */
     double m_jain = 0;
     std::uint32_t m_finished = 0;
     std::uint32_t m_unfinished = 0;
     std::uint32_t m_preemptions = 0;
-    /** Mean completion with accelerators without end. */
+    /** Mean completion time with unlimited accelerators. */
     double m_lowerBound = 0;
 };
 
-/** Runs a workload under a policy in virtual time; no hosts, network or store are in it. */
+/** Simulates a workload under a policy in virtual time, without hosts, network or store. */
 Measures replay(const Workload& workload, ReplayPolicy& policy);
 
 }  // namespace pierbank::replay
--- a/bench/replay/Workload.cpp
+++ b/bench/replay/Workload.cpp
@@ -12,10 +12,10 @@
 using Engine = std::mt19937_64;
 
 constexpr double MILLIS_PER_HOUR = 3'600'000.0;
-/** Spread of run times: most within a factor of three of the median, a few far longer. */
+/** Spread of run times: most are within a factor of three of the median, a few far longer. */
 constexpr double RUN_TIME_SIGMA = 1.0;
-constexpr Millis LEAST_RUN_TIME{60'000};
-/** An accelerator comes with a core and this much memory. */
+constexpr Millis MIN_RUN_TIME{60'000};
+// Processors and memory per accelerator.
 constexpr std::uint32_t CPU_MILLIS = 1000;
 constexpr std::uint32_t MEMORY_MB = 1000;
 
@@ -49,7 +49,7 @@
     }
 }
 
-/** The first organisations are large: they have a gang guaranteed; all have half a worker. */
+/** Guarantees each organisation half a worker, and the first ones, which are large, also a gang. */
 void addOrganisations(const WorkloadPlan& plan, Workload& workload) {
     const std::uint32_t large = plan.m_largeMembers * plan.m_largeAccelerators;
     const std::uint32_t small = std::max(1U, plan.m_accelerators / 2);
@@ -89,7 +89,7 @@
     JobRecord& record = arrival.m_record;
     record.m_id = "j" + std::to_string(100'000 + index);
     record.m_acceptedAt = arrival.m_at;
-    // A few organisations send most of the work.
+    // The skew makes a few organisations submit most of the jobs.
     const double skewed = std::pow(uniform(engine, 0, 1), 2.0);
     const auto organisation = static_cast<std::uint32_t>(skewed * plan.m_organisations);
     record.m_organisation = getOrganisation(std::min(organisation, plan.m_organisations - 1));
@@ -98,7 +98,7 @@
     record.m_policy.m_priority = uniform(engine, 0, 1) < plan.m_urgentShare ? 0 : 1;
     record.m_policy.m_queue = arrival.isUrgent() ? "urgent" : "batch";
     record.m_policy.m_attempts = 6;
-    // What a caller hopes for: twice the run time, or a start within ten minutes.
+    // Objective of a job: twice its declared run time plus ten minutes.
     record.m_policy.m_stretch = 2.0;
     record.m_policy.m_slack = Millis(600'000);
     const double hours = std::lognormal_distribution<double>(0.0, RUN_TIME_SIGMA)(engine);
@@ -112,7 +112,7 @@
     return arrival;
 }
 
-/** Scales all run times so that the work offered is the load that the plan asks for. */
+/** Scales all run times so that the offered work equals the plan's load. */
 void scaleToLoad(const WorkloadPlan& plan, std::vector<Arrival>& arrivals) {
     double work = 0;
     for (const Arrival& arrival : arrivals) {
@@ -123,7 +123,7 @@
     const double factor = plan.m_load * capacity / work;
     const auto scale = [factor](Millis time) {
         const double scaled = static_cast<double>(time.count()) * factor;
-        return std::max(LEAST_RUN_TIME, Millis(static_cast<std::int64_t>(scaled)));
+        return std::max(MIN_RUN_TIME, Millis(static_cast<std::int64_t>(scaled)));
     };
     for (Arrival& arrival : arrivals) {
         arrival.m_trueRunTime = scale(arrival.m_trueRunTime);
@@ -138,7 +138,7 @@
     Engine engine(plan.m_seed);
     Workload workload;
     workload.m_name = plan.m_name;
-    workload.m_gauge = makeGang(plan, plan.m_largeMembers);
+    workload.m_referenceGang = makeGang(plan, plan.m_largeMembers);
     addWorkers(plan, workload);
     addOrganisations(plan, workload);
     if (plan.m_hasFailingWorker) {
--- a/bench/replay/Workload.h
+++ b/bench/replay/Workload.h
@@ -11,34 +11,34 @@
 
 namespace pierbank::replay {
 
-/** A job as it arrives, with its true run time, which no policy sees. */
+/** A job with its arrival time and its true run time, which is hidden from policies. */
 struct Arrival {
     Millis m_at{0};
     JobRecord m_record;
     Millis m_trueRunTime{0};
-    /** When its organisation withdraws it; zero: never. */
+    /** Time at which its organisation withdraws the job; zero for never. */
     Millis m_withdrawnAt{0};
 
     const StepSpec& getStep() const { return m_record.m_spec.m_steps.front(); }
-    /** Accelerators of all its members. */
+    /** Returns the accelerators of all members. */
     std::uint32_t getTotal() const { return getStep().m_tasks * getStep().m_need.m_accelerators; }
     bool isUrgent() const { return m_record.m_policy.m_priority == 0; }
 };
 
-/** Workers, organisations with guarantees, and jobs. */
+/** Input of a replay: workers, organisations with guarantees, and jobs. */
 struct Workload {
     std::string m_name;
     std::vector<WorkerSnapshot> m_workers;
-    /** Accelerators that belong to each organisation. */
+    /** Accelerators guaranteed to each organisation. */
     std::map<std::string, std::uint32_t> m_guarantees;
     std::vector<Arrival> m_arrivals;
-    /** The gang by which fragmentation is measured: what large organisations are guaranteed. */
-    StepSpec m_gauge;
-    /** Every task fails on this worker; empty for none. */
+    /** Gang guaranteed to large organisations, by which fragmentation is measured. */
+    StepSpec m_referenceGang;
+    /** Worker on which every task fails; empty for none. */
     std::string m_failingWorker;
 };
 
-/** What a workload is made of. */
+/** Parameters of a generated workload. Shares are from 0 to 1. */
 struct WorkloadPlan {
     std::string m_name;
     std::uint64_t m_seed = 1;
@@ -49,27 +49,30 @@
     std::uint32_t m_organisations = 4;
     std::uint32_t m_jobs = 300;
     double m_hours = 72;
-    /** Offered load as a part of the accelerators. */
+    /** Offered load as a share of the accelerators. */
     double m_load = 0.85;
-    /** Part of the jobs that are large gangs within one rack. */
+    /** Share of the jobs that are large gangs within one rack. */
     double m_largeShare = 0.15;
     std::uint32_t m_largeMembers = 2;
-    /** Members of the largest gangs; every other large job is one. */
+    /** Members of the largest gangs, which are half of the large jobs on average. */
     std::uint32_t m_largestMembers = 3;
     std::uint32_t m_largeAccelerators = 8;
-    /** Declared run times are off by a factor up to this, either way. */
+    /** Maximum factor by which declared run times are too long or too short. */
     double m_declaredError = 3.0;
-    /** Arrivals come in bursts of this many; 1: evenly spread. */
+    /** Number of jobs that arrive at the same time; 1 for independent arrivals. */
     std::uint32_t m_burst = 1;
+    /** Some bursts consist of large jobs only. */
     bool m_burstOfLarge = false;
+    /** Share of the jobs that are withdrawn half an hour after their arrival. */
     double m_withdrawnShare = 0.0;
     bool m_hasFailingWorker = false;
     double m_urgentShare = 0.03;
 };
 
+/** Generates a workload; the same plan gives the same workload. */
 Workload makeWorkload(const WorkloadPlan& plan);
 
-/** The plans that the measurements use; the last has the letter's size. */
+/** Returns the plans of the benchmark; the last has the size of a whole region. */
 std::vector<WorkloadPlan> getPlans(std::uint64_t seed);
 
 }  // namespace pierbank::replay
--- a/bench/replay/main.cpp
+++ b/bench/replay/main.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// pierbank-replay: the planner against baselines, in virtual time. Prints tab-separated lines.
+// pierbank-replay: compares the planner with baselines in virtual time. Prints tab-separated lines.
 #include <algorithm>
 #include <boost/program_options.hpp>
 #include <chrono>
@@ -33,35 +33,38 @@
     std::fflush(stdout);
 }
 
-void compare(const WorkloadPlan& plan, const TaskPlannerSettings& settings, bool withBaselines) {
+/** Replays a workload under the planner and, unless disabled, under all baselines. */
+void compare(const WorkloadPlan& plan, const TaskPlannerSettings& settings,
+             bool includesBaselines) {
     const Workload workload = makeWorkload(plan);
-    PierbankPolicy own(settings);
-    printLine(workload, plan.m_seed, "pierbank", replay::replay(workload, own));
-    if (!withBaselines) {
+    PierbankPolicy pierbankPolicy(settings);
+    printLine(workload, plan.m_seed, "pierbank", replay::replay(workload, pierbankPolicy));
+    if (!includesBaselines) {
         return;
     }
     FirstFitFifo fifo;
     printLine(workload, plan.m_seed, "first-fit-fifo", replay::replay(workload, fifo));
-    BestFit best;
-    printLine(workload, plan.m_seed, "best-fit", replay::replay(workload, best));
+    BestFit bestFit;
+    printLine(workload, plan.m_seed, "best-fit", replay::replay(workload, bestFit));
     StaticPartitions partitions;
     printLine(workload, plan.m_seed, "static-partitions", replay::replay(workload, partitions));
 }
 
-/** Nothing is known of how long runs go on. */
-class NoForecast final : public RunForecast {
+/** Forecast without any data about run times. */
+class EmptyForecast final : public RunForecast {
 public:
     std::optional<Millis> getRemaining(std::string_view, const TaskRef&) const override {
         return std::nullopt;
     }
 };
 
-struct PassTimes {
+/** Times of repeated plans, in milliseconds. */
+struct PlanTimes {
     double m_median = 0;
     double m_worst = 0;
 };
 
-PassTimes timePlans(const TaskPlanner& planner, const PlanInput& input) {
+PlanTimes timePlans(const TaskPlanner& planner, const PlanInput& input) {
     std::vector<double> times;
     constexpr int PASSES = 15;
     for (int i = 0; i < PASSES; ++i) {
@@ -75,8 +78,8 @@
     return {times[times.size() / 2], times.back()};
 }
 
-/** Time of a pass with all workers busy and many jobs waiting, without reasons and with them. */
-void measurePass(std::uint32_t workers, std::uint32_t jobs) {
+/** Measures planning with busy workers and many waiting jobs, with and without explanations. */
+void measurePlanTime(std::uint32_t workers, std::uint32_t jobs) {
     WorkloadPlan plan = getPlans(1).back();
     plan.m_workers = workers;
     plan.m_jobs = jobs;
@@ -89,7 +92,7 @@
         planned.push_back({&arrival.m_record, &run, nullptr});
     }
     const TaskPlanner planner{TaskPlannerSettings()};
-    const NoForecast forecast;
+    const EmptyForecast forecast;
     PlanInput input{workload.m_workers, planned, forecast, workload.m_guarantees, Millis(1000)};
     const TaskPlan first = planner.plan(input);
     for (const Placement& placement : first.m_placements) {
@@ -99,9 +102,9 @@
     const auto waiting = std::count_if(runs.begin(), runs.end(), [](const auto& entry) {
         return entry.second.m_phase == JobPhase::PENDING;
     });
-    const PassTimes explained = timePlans(planner, input);
+    const PlanTimes explained = timePlans(planner, input);
     input.m_withExplanations = false;
-    const PassTimes plain = timePlans(planner, input);
+    const PlanTimes plain = timePlans(planner, input);
     std::printf(
             "pass\t%u workers\t%zu tasks run\t%td jobs wait\t%.2f ms median\t%.2f ms worst\t"
             "with reasons %.2f\n",
@@ -115,8 +118,8 @@
     std::uint64_t seeds = 3;
     std::string only;
     TaskPlannerSettings settings;
-    bool isPass = false;
-    bool isAlone = false;
+    bool measuresPlanTime = false;
+    bool excludesBaselines = false;
     po::options_description description("pierbank-replay");
     description.add_options()("seeds", po::value(&seeds), "how many seeds")(
             "only", po::value(&only), "only this workload")(
@@ -124,10 +127,10 @@
             "starvation-factor", po::value(&settings.m_starvationFactor),
             "declared times that a job waits before it is starved")(
             "claims", po::value(&settings.m_maxReservations),
-            "starved units with claims at a time")("alone", po::bool_switch(&isAlone),
+            "starved units with claims at a time")("alone", po::bool_switch(&excludesBaselines),
                                                    "without the baselines")(
-            "pass", po::bool_switch(&isPass), "measure the time of a pass instead")("help",
-                                                                                    "this text");
+            "pass", po::bool_switch(&measuresPlanTime), "measure the time of a pass instead")(
+            "help", "this text");
     po::variables_map values;
     try {
         po::store(po::parse_command_line(argc, argv, description), values);
@@ -141,21 +144,21 @@
         return 0;
     }
     setLogLevel(Severity::ERROR);
-    if (isPass) {
+    if (measuresPlanTime) {
         for (const std::uint32_t workers : {86U, 172U, 345U, 690U}) {
-            measurePass(workers, 2000);
+            measurePlanTime(workers, 2000);
         }
         for (const std::uint32_t jobs : {250U, 500U, 1000U, 4000U}) {
-            measurePass(690, jobs);
+            measurePlanTime(690, jobs);
         }
         return 0;
     }
     printHead();
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         for (const WorkloadPlan& plan : getPlans(seed)) {
-            const bool isLetter = plan.m_name == "letter";
-            if (only.empty() ? !isLetter : plan.m_name == only) {
-                compare(plan, settings, !isAlone);
+            const bool isRegionSized = plan.m_name == "letter";
+            if (only.empty() ? !isRegionSized : plan.m_name == only) {
+                compare(plan, settings, !excludesBaselines);
             }
         }
     }
--- a/bench/rounds/bound.py
+++ b/bench/rounds/bound.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
-"""What an order that knew all arrivals, times and faults could have earned at most, per play.
+"""Upper bound of the score that a schedule with full knowledge of arrivals, run times and faults could reach.
 
-  bench/rounds/bound.py TRACE PLAY.json...     TRACE: the program pierbank-trace; beside each report its log, PLAY.txt
+  bench/rounds/bound.py TRACE PLAY.json...     TRACE: the program pierbank-trace; PLAY.txt is the log of a report
 
-Lost in any order: jobs for which no gateway reached the store in their callers' whole time, and prices that no order
-changes (machines, memory, calls of the store, connections). All else is taken to be served in time, on hosts that
-never fail, with no work thrown away; so the bound lies above what is possible."""
+Every schedule loses the jobs for which no gateway reached the store while their callers retried, and pays the prices
+that no schedule changes (machines, memory, calls of the store, connections). All other jobs are assumed to be served in
+time, on hosts that never fail, without wasted work, so the bound is higher than any schedule can reach."""
 import json
 import math
 import subprocess
@@ -17,8 +17,8 @@
 def bound(trace, report_path):
     report = json.load(open(report_path, encoding="utf-8"))
     log = report_path.removesuffix(".json") + ".txt"
-    told = subprocess.run([trace, "--bad", log], capture_output=True, text=True, check=True).stdout
-    out_of_reach = sum(" no_gateway_reached_the_store" in line for line in told.splitlines())
+    output = subprocess.run([trace, "--bad", log], capture_output=True, text=True, check=True).stdout
+    out_of_reach = sum(" no_gateway_reached_the_store" in line for line in output.splitlines())
     total = report["all"]
     owed = sum(total[name] for name in ("in_aim", "late", "refused", "failed"))
     lost = min(out_of_reach, total["refused"] + total["failed"]) / max(1, owed)
@@ -28,7 +28,7 @@
         if name == "nines":
             earned += weight * nines
         elif name == "worst windows":
-            # One job lost empties a window as a rule; the mean of the two worst ones is counted.
+            # One lost job usually reduces a window to zero; the score is the mean of the two worst windows.
             earned += weight * (1.0 if lost == 0 else max(value, 0.5))
         else:
             earned += weight * (1 - lost)
--- a/fuzz/DecodersFuzz.cpp
+++ b/fuzz/DecodersFuzz.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// libFuzzer target: every decoder that reads bytes from outside. Run it for long by hand:
+// libFuzzer target for all decoders of untrusted input. Intended for long manual runs:
 //     out/fuzz/decoders-fuzz -max_len=4096
 #include <cstdint>
 #include <cstdlib>
@@ -14,25 +14,28 @@
 
 namespace {
 
-void require(bool holds) {
-    if (!holds) {
+void require(bool condition) {
+    if (!condition) {
         std::abort();
     }
 }
 
-/** Whatever stands beside them: good rows hold, and no row is taken that lacks what it is known by.
+/**
+ * Checks that the valid rows of a configuration are read whatever the fuzzed row beside them is,
+ * and that no route without a host or a path prefix is accepted.
  */
 void checkRows(std::string_view bytes, const pierbank::DocumentCodec& documents) {
     const nlohmann::json row = pierbank::adapter::parseJson(bytes);
     if (row.is_discarded()) {
         return;
     }
-    const nlohmann::json good = {{"name", "r"}, {"host", "h"}, {"path_prefix", "/p/"}};
-    const nlohmann::json owner = {{"name", "t"}, {"api_keys", {"k"}}};
-    const nlohmann::json whole = {
-            {"version", 1}, {"routes", {row, good, row}}, {"tenants", {row, row, owner}}};
+    const nlohmann::json validRoute = {{"name", "r"}, {"host", "h"}, {"path_prefix", "/p/"}};
+    const nlohmann::json validTenant = {{"name", "t"}, {"api_keys", {"k"}}};
+    const nlohmann::json document = {{"version", 1},
+                                     {"routes", {row, validRoute, row}},
+                                     {"tenants", {row, row, validTenant}}};
     pierbank::Findings findings;
-    const auto read = documents.readConfiguration(pierbank::adapter::dumpJson(whole), findings);
+    const auto read = documents.readConfiguration(pierbank::adapter::dumpJson(document), findings);
     require(read.has_value() && read->findRoute("h", "/p/x") != nullptr);
     require(read->m_organisationsByKey.count("k") == 1);
     for (const pierbank::QueueRoute& route : read->m_routes) {
@@ -40,8 +43,8 @@
     }
 }
 
-/** A beat is read whole or not at all. */
-void checkBeat(std::string_view bytes, const pierbank::DocumentCodec& documents) {
+/** Checks that a heartbeat is either read completely or rejected with findings. */
+void checkHeartbeat(std::string_view bytes, const pierbank::DocumentCodec& documents) {
     pierbank::Findings findings;
     const auto heartbeat = documents.readHeartbeat("life", bytes, findings);
     require(heartbeat.has_value() == findings.isEmpty());
@@ -65,7 +68,7 @@
     pierbank::Findings findings;
     documents.readConfiguration(bytes, findings);
     documents.readJob(bytes, findings);
-    checkBeat(bytes, documents);
+    checkHeartbeat(bytes, documents);
     checkRows(bytes, documents);
     documents.readWave(bytes, findings);
     const auto statement = pierbank::parseStatement(bytes);
--- a/libs/base/include/pierbank/base/Address.h
+++ b/libs/base/include/pierbank/base/Address.h
@@ -10,15 +10,18 @@
 
 namespace pierbank {
 
-/** An IP number and a port. Host names are not accepted anywhere in the project. */
+/** IP address and port. Host names are not supported. */
 struct Address {
     std::string m_host;
     std::uint16_t m_port = 0;
 
-    /** Reads `127.0.0.1:80` or `[::1]:80`; empty for anything else, host names included. */
+    /**
+     * Parses `127.0.0.1:80` or `[::1]:80`. Returns an empty value for any other text, including
+     * host names and port 0.
+     */
     static std::optional<Address> parse(std::string_view text);
 
-    /** The text that parse() reads. */
+    /** Returns the text form that parse() accepts. */
     std::string toText() const;
 
     auto operator<=>(const Address&) const = default;
--- a/libs/base/include/pierbank/base/Archive.h
+++ b/libs/base/include/pierbank/base/Archive.h
@@ -15,19 +15,19 @@
 #include "pierbank/base/Clock.h"
 
 /**
- * Typed values to and from CBOR arrays. A type takes part by a free function that names its
- * fields once, in their order on the wire, for writing and reading alike:
+ * Serializes typed values to CBOR arrays and back. A type becomes serializable through a free
+ * function that lists its fields once, in their order on the wire, for both writing and reading:
  *
  *     template <typename Archive>
  *     void describe(Archive& archive, Hello& hello) {
  *         archive(hello.m_node, hello.m_instance, hello.m_configurationVersion);
  *     }
  *
- * Include this header in source files only: it brings the whole JSON library.
+ * Include this header in source files only, because it includes the whole JSON library.
  */
 namespace pierbank {
 
-/** Writes fields, one after another, into an array. */
+/** Appends the fields of a described object to a JSON array, which toCbor() encodes. */
 class ArchiveWriter {
 public:
     template <typename... Fields>
@@ -35,7 +35,7 @@
         (m_array.push_back(toValue(fields)), ...);
     }
 
-    /** The value of a whole described object. */
+    /** Converts a number, an enumeration value, a string or a described object to a JSON value. */
     template <typename T>
     static nlohmann::json toValue(const T& value) {
         if constexpr (std::is_enum_v<T>) {
@@ -44,7 +44,8 @@
             return value;
         } else {
             ArchiveWriter writer;
-            describe(writer, const_cast<T&>(value));  // writing only reads the fields
+            // describe() does not change the value when it is called with a writer.
+            describe(writer, const_cast<T&>(value));
             return std::move(writer.m_array);
         }
     }
@@ -80,12 +81,12 @@
 };
 
 /**
- * Reads what ArchiveWriter wrote. Anything else (wrong types, numbers out of range, too few or
- * too many fields) sets the failure, after which the values read mean nothing.
+ * Reads the JSON arrays that ArchiveWriter produces. Wrong types, numbers out of range, and too few
+ * or too many fields make the reading fail; the values read are then unspecified.
  */
 class ArchiveReader {
 public:
-    /** Reads one value. @return false when `from` is not what a T is written as. */
+    /** Reads one value. @return false when `from` is not the encoding of a T. */
     template <typename T>
     static bool read(const nlohmann::json& from, T& into) {
         if constexpr (std::is_same_v<T, bool>) {
@@ -159,10 +160,12 @@
         (readNext(fields), ...);
     }
 
-    /** Fields that the value was written with; a type that was written otherwise before can tell.
+    /**
+     * Returns the number of fields that were written. A type uses the number to recognise an older
+     * encoding of itself.
      */
     std::size_t getSize() const noexcept { return m_array.size(); }
-    /** The fields were read, but make no sense together. */
+    /** Makes the reading fail because the fields contradict each other. */
     void fail() noexcept { m_isGood = false; }
 
 private:
@@ -200,7 +203,10 @@
         return false;
     }
 
-    /** Enumerations taking part declare `constexpr T lastOf(T)`, found by their namespace. */
+    /**
+     * Reads an enumeration value. A serializable enumeration declares `constexpr T lastOf(T)` in
+     * its own namespace, which returns its greatest value.
+     */
     template <typename T>
     static bool readEnum(const nlohmann::json& from, T& into) {
         std::uint64_t number = 0;
@@ -226,7 +232,7 @@
     bool m_isGood = true;
 };
 
-/** The CBOR bytes of a described value. */
+/** Encodes a described value as CBOR. */
 template <typename T>
 std::string toCbor(const T& value) {
     std::string bytes;
@@ -235,12 +241,13 @@
 }
 
 /**
- * Parses CBOR without exceptions; a discarded value for what is not CBOR, or nests deeper than any
- * value of the project (the parser recurses, and hostile nesting must not use up the stack).
+ * Parses CBOR without exceptions. Returns a discarded value for bytes that are not CBOR or that
+ * nest deeper than any serializable type does. The depth is limited because the parser recurses,
+ * and a malicious input must not exhaust the stack.
  */
 nlohmann::json parseCbor(std::string_view bytes);
 
-/** Reads a described value; empty for bytes that toCbor() of its type does not write. */
+/** Decodes a described value. Returns an empty value for bytes that are not an encoding of a T. */
 template <typename T>
 std::optional<T> fromCbor(std::string_view bytes) {
     const nlohmann::json parsed = parseCbor(bytes);
--- a/libs/base/include/pierbank/base/Clock.h
+++ b/libs/base/include/pierbank/base/Clock.h
@@ -6,23 +6,24 @@
 
 namespace pierbank {
 
-/** All durations and instants of the project are whole milliseconds. */
+/** Duration or instant in whole milliseconds, the only unit of time in the code. */
 using Millis = std::chrono::milliseconds;
 
-/**
- * Source of time. Injected wherever a module measures time, so that tests can use a manual clock.
- */
+/** Source of time. Each module that measures time gets a clock, so that tests can control it. */
 class Clock {
 public:
     virtual ~Clock() = default;
 
     /**
-     * Monotonic instant, which goes on while the machine is suspended; only differences between two
-     * values of one process have a meaning.
+     * Returns a monotonic instant, which advances while the machine is suspended. Only differences
+     * between two values of one process are meaningful.
      */
     virtual Millis now() const noexcept = 0;
 
-    /** Time since the Unix epoch; for audit entries and records, never for leases. */
+    /**
+     * Returns the time since the Unix epoch. Intended for audit entries and records, and never for
+     * leases, because the wall clock may be set.
+     */
     virtual Millis wallNow() const noexcept = 0;
 };
 
--- a/libs/base/include/pierbank/base/EventLoop.h
+++ b/libs/base/include/pierbank/base/EventLoop.h
@@ -9,14 +9,14 @@
 
 namespace pierbank {
 
-/** Names one pending timer of an EventLoop. Zero names none. */
+/** Identifies a pending timer of an EventLoop. Zero identifies no timer. */
 enum class TimerId : std::uint64_t { NONE = 0 };
 
 /**
- * The one loop on which a process runs. Every callback of the project is called from it, so that
- * no module needs a lock.
+ * Event loop of a process. All callbacks run on the thread of the loop, so that no module needs a
+ * lock.
  *
- * Programs use GlibEventLoop; tests use ManualEventLoop, whose time moves only when told to.
+ * Programs use GlibEventLoop. Tests use ManualEventLoop, whose time advances only on request.
  */
 class EventLoop : public Clock {
 public:
@@ -24,15 +24,15 @@
 
     /**
      * Calls `task` once, after `delay`.
-     * @param delay zero or more milliseconds; zero means on the loop's next turn.
-     * @return the timer's name, valid for cancel() until the task has run.
+     * @param delay zero or more milliseconds; zero means the next iteration of the loop.
+     * @return the id of the timer, valid for cancel() until the task has run.
      */
     virtual TimerId callLater(Millis delay, Task task) = 0;
 
-    /** Forgets a timer. Does nothing when it has run already or is NONE. */
+    /** Cancels a timer. Has no effect when the timer has already run or is NONE. */
     virtual void cancel(TimerId timer) noexcept = 0;
 
-    /** Calls `task` on the loop's next turn. */
+    /** Calls `task` in the next iteration of the loop. */
     void post(Task task) { callLater(Millis(0), std::move(task)); }
 };
 
--- a/libs/base/include/pierbank/base/Findings.h
+++ b/libs/base/include/pierbank/base/Findings.h
@@ -8,33 +8,30 @@
 
 namespace pierbank {
 
-/** One thing that is wrong in some input, with the place where it stands. */
+/** An error in an input, with its location. */
 struct Finding {
     std::string m_place;
     std::string m_message;
 };
 
-/**
- * Collects what is wrong in an input, so that everything is reported together instead of only
- * the first mistake.
- */
+/** Collects the errors in an input, so that all errors are reported and not only the first. */
 class Findings {
 public:
-    /** Adds one finding. */
+    /** Adds an error. @param place location in the input, for example a file, section and key. */
     void add(std::string_view place, std::string_view message);
 
     bool isEmpty() const noexcept { return m_findings.empty(); }
 
     const std::vector<Finding>& getAll() const noexcept { return m_findings; }
 
-    /** One line a finding: `place: message`. */
+    /** Returns one line for each finding: `place: message`. */
     std::string toText() const;
 
 private:
     std::vector<Finding> m_findings;
 };
 
-/** Why the last call of a function that returned an empty optional failed. */
+/** Description of a failure, set by a function that returns false or an empty value. */
 using Reason = std::string;
 
 }  // namespace pierbank
--- a/libs/base/include/pierbank/base/GlibEventLoop.h
+++ b/libs/base/include/pierbank/base/GlibEventLoop.h
@@ -12,15 +12,16 @@
 namespace pierbank {
 
 /**
- * EventLoop on GLib's default main context. Made once, by main(), on the main thread.
+ * EventLoop on GLib's default main context. A process creates one instance, in main() on the main
+ * thread.
  *
- * While a machine is suspended GLib's timers stand still with its steady clock, and now() goes on.
- * When it wakes, the timers that are overdue by now() run before anything that has arrived is
- * handled.
+ * While the machine is suspended, the monotonic clock and with it the timers of GLib stop, whereas
+ * now() advances. After the machine resumes, all timers that are overdue by now() run before any
+ * received data is handled.
  */
 class GlibEventLoop final : public EventLoop {
 public:
-    /** @param clocks must outlive the loop; null for the machine's own. */
+    /** @param clocks must outlive the loop; null selects the clocks of the system. */
     explicit GlibEventLoop(const MachineClocks* clocks = nullptr);
     ~GlibEventLoop() override;
     GlibEventLoop(const GlibEventLoop&) = delete;
@@ -34,36 +35,36 @@
     /** Runs until quit() is called. */
     void run();
 
-    /** Makes run() return; may be called from any callback. */
+    /** Makes run() return. May be called from any callback. */
     void quit() noexcept;
 
-    /** Calls `task` on the loop when the process gets this signal (SIGINT, SIGTERM or SIGHUP). */
+    /** Calls `task` on the loop when the process receives the signal: SIGINT, SIGTERM or SIGHUP. */
     void onSignal(int signalNumber, Task task);
 
 private:
     struct Timer;
-    struct WakeSource;
-    struct Pending {
+    struct ResumeSource;
+    struct PendingTimer {
         guint m_source = 0;
-        /** By now(). */
+        /** Instant at which the timer is due, in terms of now(). */
         Millis m_due{0};
         Timer* m_timer = nullptr;
     };
 
     static gboolean fire(gpointer data);
-    void addWakeSource();
-    Millis getSuspended() const noexcept;
-    bool hasWoken() const noexcept;
-    void catchUp();
-    bool runOverdue(Millis until);
+    void addResumeSource();
+    Millis getSuspendedTime() const noexcept;
+    bool hasResumed() const noexcept;
+    void handleResume();
+    bool runNextOverdueTimer(Millis until);
 
     const MachineClocks& m_clocks;
     GMainLoop* m_loop;
-    GSource* m_wakeSource = nullptr;
-    /** Time that the machine was suspended since it started, as far as it was noticed. */
+    GSource* m_resumeSource = nullptr;
+    /** Total time for which the machine has been suspended, as last detected by the loop. */
     Millis m_suspended{0};
-    std::uint64_t m_nextTimer = 1;
-    std::unordered_map<std::uint64_t, Pending> m_timers;
+    std::uint64_t m_nextTimerId = 1;
+    std::unordered_map<std::uint64_t, PendingTimer> m_timers;
 };
 
 }  // namespace pierbank
--- a/libs/base/include/pierbank/base/LineWriter.h
+++ b/libs/base/include/pierbank/base/LineWriter.h
@@ -8,21 +8,25 @@
 namespace pierbank {
 
 /**
- * Writes lines to a pipe, socket or file without ever waiting for its reader. A line that would
- * have to wait is dropped and counted; the next one that gets through is preceded by a line that
- * says how many are missing. The descriptor stays as it is: others may share it.
+ * Writes lines to a pipe, socket or file without blocking. A line that cannot be written
+ * immediately is dropped and counted. The next line that can be written is preceded by a line with
+ * the number of dropped lines. The file descriptor is not switched to non-blocking mode, because
+ * other processes may share it.
  */
 class LineWriter {
 public:
-    /** Longer lines are cut: poll(2) promises room for PIPE_BUF (4096) bytes, not for more. */
+    /**
+     * Maximum length of a line in bytes; longer lines are truncated. A pipe that poll(2) reports as
+     * writable accepts PIPE_BUF (4096) bytes without blocking, and no more is guaranteed.
+     */
     static constexpr std::size_t MAX_LINE = 4000;
 
     explicit LineWriter(int descriptor) : m_descriptor(descriptor) {}
 
-    /** @param line without its end. */
+    /** Writes or drops a line. @param line text without the line break. */
     void write(std::string_view line);
 
-    /** Lines dropped that no line has told of yet. */
+    /** Returns the number of dropped lines that have not been reported in the output yet. */
     std::uint64_t getDropped() const { return m_dropped; }
 
 private:
--- a/libs/base/include/pierbank/base/Log.h
+++ b/libs/base/include/pierbank/base/Log.h
@@ -9,28 +9,28 @@
 
 namespace pierbank {
 
-/** How important a log line is. */
+/** Severity of a log line. */
 enum class Severity { DEBUG, INFO, WARNING, ERROR };
 
-/** One `key=value` of a log line. */
+/** A `key=value` pair of a log line. */
 struct LogField {
     std::string_view m_key;
     std::string m_value;
 };
 
 /**
- * Structured logs on standard output, by Boost.Log and LineWriter: one line an event, with time,
- * severity, component, event and fields. Payloads and tokens are never logged.
+ * Logs an event to standard output, through Boost.Log and LineWriter. Each event is one line with
+ * the time, severity, component, event and fields. Payloads and tokens must not be logged.
  *
  *     logEvent(Severity::INFO, "leader", "took-over", {{"epoch", std::to_string(epoch)}});
  */
 void logEvent(Severity severity, std::string_view component, std::string_view event,
               std::initializer_list<LogField> fields = {});
 
-/** Lines below this severity are dropped. The level is INFO until this is called. */
+/** Sets the minimum severity of the lines that are logged. The default is INFO. */
 void setLogLevel(Severity level);
 
-/** Reads `debug`, `info`, `warning` or `error`; empty for any other text. */
+/** Parses `debug`, `info`, `warning` or `error`. Returns an empty value for any other text. */
 std::optional<Severity> parseSeverity(std::string_view text);
 
 }  // namespace pierbank
--- a/libs/base/include/pierbank/base/MachineClocks.h
+++ b/libs/base/include/pierbank/base/MachineClocks.h
@@ -6,16 +6,20 @@
 
 namespace pierbank {
 
-/** The machine's two steady clocks. They drift apart while it is suspended. */
+/**
+ * The two steady clocks of the machine. Their difference grows while the machine is suspended.
+ * Passed to GlibEventLoop, so that tests can simulate a suspension.
+ */
 class MachineClocks {
 public:
     virtual ~MachineClocks() = default;
-    /** Goes on while the machine is suspended (CLOCK_BOOTTIME). */
-    virtual Millis getWithSuspensions() const noexcept = 0;
-    /** Stands still meanwhile (CLOCK_MONOTONIC), and with it all timers of the loop. */
-    virtual Millis getRunning() const noexcept = 0;
+    /** Returns CLOCK_BOOTTIME, which advances while the machine is suspended. */
+    virtual Millis getBootTime() const noexcept = 0;
+    /** Returns CLOCK_MONOTONIC, which stops during a suspension, as do the timers of GLib. */
+    virtual Millis getMonotonicTime() const noexcept = 0;
 };
 
+/** Returns the clocks of the operating system. */
 const MachineClocks& getSystemClocks();
 
 }  // namespace pierbank
--- a/libs/base/include/pierbank/base/Metrics.h
+++ b/libs/base/include/pierbank/base/Metrics.h
@@ -12,7 +12,7 @@
 
 namespace pierbank {
 
-/** A stream of durations with running quantiles, by Boost.Accumulators. */
+/** Count, sum and estimated quantiles of a stream of durations, by Boost.Accumulators. */
 class LatencySummary {
 public:
     LatencySummary();
@@ -22,9 +22,11 @@
 
     void add(Millis duration);
     std::uint64_t getCount() const;
-    /** Milliseconds. */
+    /** Returns an estimate of the median in milliseconds, or 0 without durations. */
     double getMedian() const;
+    /** Returns an estimate of the 99th percentile in milliseconds, or 0 without durations. */
     double get99th() const;
+    /** Returns the sum of all durations in milliseconds. */
     double getSum() const;
 
 private:
@@ -35,17 +37,20 @@
 /** Builds a page of metrics in the Prometheus text format. */
 class MetricsPage {
 public:
+    /** Adds a counter without labels. @param help description of the metric. */
     void addCounter(std::string_view name, std::string_view help, std::uint64_t value);
-    /** One counter in several parts; each is named by its labels, as `kind="read"`. */
+    /** Adds a counter with labels. @param values by the labels, in the form `kind="read"`. */
     void addCounters(std::string_view name, std::string_view help,
                      const std::map<std::string, std::uint64_t>& values);
     void addGauge(std::string_view name, std::string_view help, double value);
+    /** Adds the median, the 99th percentile, the sum and the count of a summary. */
     void addSummary(std::string_view name, std::string_view help, const LatencySummary& summary);
 
+    /** Returns the page as built so far. */
     const std::string& getText() const noexcept { return m_text; }
 
 private:
-    void addHead(std::string_view name, std::string_view help, std::string_view type);
+    void addHeader(std::string_view name, std::string_view help, std::string_view type);
 
     std::string m_text;
 };
--- a/libs/base/include/pierbank/base/Random.h
+++ b/libs/base/include/pierbank/base/Random.h
@@ -8,18 +8,18 @@
 
 namespace pierbank {
 
-/** Seeded random numbers; programs seed from the system, tests from a constant. */
+/** Pseudorandom number generator. Programs use a seed of the system, tests a constant seed. */
 class Random {
 public:
     explicit Random(std::uint64_t seed) : m_engine(seed) {}
 
-    /** Seeded from the operating system. */
+    /** Returns a generator with a seed from the operating system. */
     static Random fromSystem();
 
-    /** A number in [0, bound); `bound` must be at least 1. */
+    /** Returns a uniformly distributed number in [0, bound). `bound` must be at least 1. */
     std::uint64_t below(std::uint64_t bound);
 
-    /** 16 hexadecimal digits; for instance names and write ids. */
+    /** Returns 16 random hexadecimal digits, for the names of instances and the ids of writes. */
     std::string token();
 
 private:
--- a/libs/base/include/pierbank/base/SettingsFile.h
+++ b/libs/base/include/pierbank/base/SettingsFile.h
@@ -16,29 +16,32 @@
 
 namespace pierbank {
 
-/** Where a setting stands. */
+/** Identifies a setting by its section and key. */
 struct SettingKey {
     std::string_view m_section;
     std::string_view m_key;
 };
 
 /**
- * An INI file read through typed getters. Each getter notes what is wrong in the findings and
- * goes on with a harmless value, so that one run reports every mistake:
+ * INI file with typed getters. A getter adds each error to the findings and returns a valid
+ * replacement, so that all errors are reported in one pass:
  *
  *     auto file = SettingsFile::load(path, findings);
  *     const Address listen = file->getAddress({"gateway", "listen"});
  *     file->reportUnknownKeys();
  *     if (!findings.isEmpty()) { print(findings.toText()); return EXIT_USAGE; }
  *
- * The findings must outlive the file.
+ * The findings must outlive the SettingsFile.
  */
 class SettingsFile {
 public:
-    /** Empty when the file cannot be read or is no INI; `findings` says why. */
+    /**
+     * Loads a file. Returns an empty value with the reason in `findings` when the file cannot be
+     * read or is not an INI file.
+     */
     static std::optional<SettingsFile> load(const std::string& path, Findings& findings);
 
-    /** As load(), from text that is already in memory. */
+    /** Like load(), with the content in memory. @param name file name for the findings. */
     static std::optional<SettingsFile> parse(std::string_view text, const std::string& name,
                                              Findings& findings);
 
@@ -46,46 +49,50 @@
     SettingsFile(SettingsFile&&) noexcept;
     SettingsFile& operator=(SettingsFile&&) noexcept;
 
+    /** Returns whether the setting is present. */
     bool has(SettingKey key);
 
-    /** A required text without blanks at its ends. */
+    /** Returns a required text without leading and trailing blanks. */
     std::string getText(SettingKey key);
-    /** A text that may be left out. */
-    std::string getText(SettingKey key, std::string_view otherwise);
+    /** Returns an optional text. Here and below, `defaultValue` stands for a missing setting. */
+    std::string getText(SettingKey key, std::string_view defaultValue);
 
-    /** A required `IP:PORT`. */
+    /** Returns a required `IP:PORT`. */
     Address getAddress(SettingKey key);
-    /** A required `IP:PORT` at which this process will listen; see reportAddressesInUse(). */
+    /** Returns a required `IP:PORT` to listen at; see reportAddressesInUse(). */
     Address getListenAddress(SettingKey key);
-    /** A list of `IP:PORT` separated by `;`; may be left out. */
+    /** Returns an optional list of `IP:PORT`, separated by `;`. */
     std::vector<Address> getAddresses(SettingKey key);
 
-    /** A whole number within [least, most]; may be left out. */
-    std::int64_t getNumber(SettingKey key, std::int64_t otherwise, std::int64_t least,
-                           std::int64_t most);
+    /** Returns an optional integer within [minimum, maximum]. */
+    std::int64_t getNumber(SettingKey key, std::int64_t defaultValue, std::int64_t minimum,
+                           std::int64_t maximum);
 
-    /** A number that need not be whole, within [least, most]; may be left out. */
-    double getReal(SettingKey key, double otherwise, double least, double most);
+    /** Returns an optional real number within [minimum, maximum]. */
+    double getReal(SettingKey key, double defaultValue, double minimum, double maximum);
 
-    /** `on` or `off`; may be left out. */
-    bool getSwitch(SettingKey key, bool otherwise);
+    /** Returns an optional boolean, `on` or `off`. */
+    bool getSwitch(SettingKey key, bool defaultValue);
 
-    /** A time with its unit, `250ms`, `4s`, `10min` or `2h`, within [least, most]. */
-    Millis getDuration(SettingKey key, Millis otherwise, Millis least, Millis most);
+    /**
+     * Returns an optional duration within [minimum, maximum], with its unit: `250ms`, `4s`, `10min`
+     * or `2h`.
+     */
+    Millis getDuration(SettingKey key, Millis defaultValue, Millis minimum, Millis maximum);
 
-    /** The keys of a section, in the file's order; for sections that map names to values. */
+    /** Returns the keys of a section in file order, for sections that map names to values. */
     std::vector<std::string> getKeys(std::string_view section);
 
-    /** Adds a finding for every key that no getter has asked for. Call it last. */
+    /** Adds a finding for each key that no getter has read. To be called after all getters. */
     void reportUnknownKeys();
 
     /**
-     * Adds a finding for each listen address at which another process listens already, or which
-     * is not an address of this host. For a start, not for a mere check.
+     * Adds a finding for each listen address that another process uses or that is not an address of
+     * this host. Intended for the start of a process, and not for a check of the settings alone.
      */
     void reportAddressesInUse();
 
-    /** Adds a finding at a key of this file. */
+    /** Adds a finding for a key of this file. */
     void report(SettingKey key, std::string_view message);
 
 private:
@@ -96,10 +103,13 @@
     std::unique_ptr<Detail> m_detail;
 };
 
-/** Reads `250ms`, `4s`, `10min`, `2h` or `3d`; empty for any other text or on overflow. */
+/**
+ * Parses `250ms`, `4s`, `10min`, `2h` or `3d`. Returns an empty value for any other text and for
+ * more than ten years.
+ */
 std::optional<Millis> parseDuration(std::string_view text);
 
-/** Writes a duration in the largest unit that keeps it whole. */
+/** Formats a duration in the largest unit in which it is a whole number. */
 std::string formatDuration(Millis duration);
 
 }  // namespace pierbank
--- a/libs/base/include/pierbank/base/UnreadableInputs.h
+++ b/libs/base/include/pierbank/base/UnreadableInputs.h
@@ -11,15 +11,16 @@
 namespace pierbank {
 
 /**
- * Counts an entry of somebody else that can't be read, and tells of it in the log: the first ten of
- * a kind each, then at each doubling, so that a writer that goes on and on does not fill the log.
- * @param component,event as in logEvent(); together they name the kind.
- * @param fields which entry, and why; the count is added.
+ * Counts and logs an entry of another process that cannot be decoded. The first ten entries of a
+ * kind are logged, and later entries at each doubling of the count, so that a faulty writer does
+ * not flood the log.
+ * @param component,event as in logEvent(); together they identify the kind.
+ * @param fields identify the entry and the error; the count is added to the log line.
  */
 void reportUnreadable(std::string_view component, std::string_view event,
                       std::initializer_list<LogField> fields);
 
-/** Of all kinds, since this process began. */
+/** Returns the number of undecodable entries of all kinds since the process started. */
 std::uint64_t countUnreadable();
 
 }  // namespace pierbank
--- a/libs/base/include/pierbank/base/Version.h
+++ b/libs/base/include/pierbank/base/Version.h
@@ -6,7 +6,7 @@
 
 namespace pierbank {
 
-/** The project's version, as in CMakeLists.txt. */
+/** Version of the project; must match CMakeLists.txt. */
 inline constexpr std::string_view VERSION = "0.1.0";
 
 }  // namespace pierbank
--- a/libs/base/src/Archive.cpp
+++ b/libs/base/src/Archive.cpp
@@ -5,11 +5,11 @@
 
 namespace {
 
-/** More than any described type nests; far less than the stack holds. */
+/** Maximum nesting depth: more than any serializable type needs, far less than the stack allows. */
 constexpr int MAX_DEPTH = 24;
 
-/** Reads events and keeps nothing; stops the parser when the input nests too deep. */
-class DepthCheck final : public nlohmann::json_sax<nlohmann::json> {
+/** Parser callbacks that store nothing and abort the parser when the input nests too deeply. */
+class DepthChecker final : public nlohmann::json_sax<nlohmann::json> {
 public:
     bool null() override { return true; }
     bool boolean(bool) override { return true; }
@@ -20,15 +20,15 @@
     bool binary(binary_t&) override { return true; }
     bool key(string_t&) override { return true; }
     bool start_object(std::size_t) override { return ++m_depth <= MAX_DEPTH; }
-    bool end_object() override { return leave(); }
+    bool end_object() override { return endContainer(); }
     bool start_array(std::size_t) override { return ++m_depth <= MAX_DEPTH; }
-    bool end_array() override { return leave(); }
+    bool end_array() override { return endContainer(); }
     bool parse_error(std::size_t, const std::string&, const nlohmann::json::exception&) override {
         return false;
     }
 
 private:
-    bool leave() {
+    bool endContainer() {
         --m_depth;
         return true;
     }
@@ -39,10 +39,10 @@
 }  // namespace
 
 nlohmann::json parseCbor(std::string_view bytes) {
-    DepthCheck check;
-    const bool isSound = nlohmann::json::sax_parse(bytes.begin(), bytes.end(), &check,
-                                                   nlohmann::json::input_format_t::cbor);
-    if (!isSound) {
+    DepthChecker checker;
+    const bool isWellFormed = nlohmann::json::sax_parse(bytes.begin(), bytes.end(), &checker,
+                                                        nlohmann::json::input_format_t::cbor);
+    if (!isWellFormed) {
         return nlohmann::json(nlohmann::json::value_t::discarded);
     }
     return nlohmann::json::from_cbor(bytes.begin(), bytes.end(), true, false);
--- a/libs/base/src/Duration.cpp
+++ b/libs/base/src/Duration.cpp
@@ -16,7 +16,10 @@
 constexpr std::array<Unit, 5> UNITS = {
         {{"ms", 1}, {"s", 1000}, {"min", 60'000}, {"h", 3'600'000}, {"d", 86'400'000}}};
 
-/** Ten years: longer times are mistakes, and sums of them must not overflow. */
+/**
+ * Ten years. Longer durations are assumed to be errors, and sums of accepted durations must not
+ * overflow.
+ */
 constexpr std::int64_t MAX_DURATION_MILLIS = 10LL * 365 * 86'400'000;
 
 }  // namespace
--- a/libs/base/src/GlibEventLoop.cpp
+++ b/libs/base/src/GlibEventLoop.cpp
@@ -14,8 +14,11 @@
 namespace {
 
 constexpr gint64 MICROS_PER_MILLI = 1000;
-/** The two clocks are read one after the other; suspensions that matter are longer. */
-constexpr Millis LEAST_SUSPENSION{20};
+/**
+ * Shortest difference that counts as a suspension. The two clocks are read one after the other, so
+ * that their difference varies. Suspensions that affect leases are longer.
+ */
+constexpr Millis MIN_SUSPENSION{20};
 
 gboolean runSignalTask(gpointer data) {
     (*static_cast<EventLoop::Task*>(data))();
@@ -34,20 +37,20 @@
     Task m_task;
 };
 
-/** Looks at the clocks on each turn of the loop, before what has arrived is handled. */
-struct GlibEventLoop::WakeSource {
+/** Compares the clocks in each iteration of the loop, before received data is handled. */
+struct GlibEventLoop::ResumeSource {
     GSource m_source;
     GlibEventLoop* m_owner;
 
     static gboolean check(GSource* source) {
-        return reinterpret_cast<WakeSource*>(source)->m_owner->hasWoken() ? TRUE : FALSE;
+        return reinterpret_cast<ResumeSource*>(source)->m_owner->hasResumed() ? TRUE : FALSE;
     }
     static gboolean prepare(GSource* source, gint* timeout) {
         *timeout = -1;
         return check(source);
     }
     static gboolean dispatch(GSource* source, GSourceFunc, gpointer) {
-        reinterpret_cast<WakeSource*>(source)->m_owner->catchUp();
+        reinterpret_cast<ResumeSource*>(source)->m_owner->handleResume();
         return G_SOURCE_CONTINUE;
     }
 };
@@ -55,63 +58,64 @@
 GlibEventLoop::GlibEventLoop(const MachineClocks* clocks)
         : m_clocks(clocks != nullptr ? *clocks : getSystemClocks()),
           m_loop(g_main_loop_new(nullptr, FALSE)),
-          m_suspended(getSuspended()) {
-    addWakeSource();
+          m_suspended(getSuspendedTime()) {
+    addResumeSource();
 }
 
 GlibEventLoop::~GlibEventLoop() {
-    g_source_destroy(m_wakeSource);
-    g_source_unref(m_wakeSource);
+    g_source_destroy(m_resumeSource);
+    g_source_unref(m_resumeSource);
     for (const auto& [id, timer] : m_timers) {
         g_source_remove(timer.m_source);
     }
     g_main_loop_unref(m_loop);
 }
 
-void GlibEventLoop::addWakeSource() {
-    static GSourceFuncs functions = {&WakeSource::prepare,
-                                     &WakeSource::check,
-                                     &WakeSource::dispatch,
+void GlibEventLoop::addResumeSource() {
+    static GSourceFuncs functions = {&ResumeSource::prepare,
+                                     &ResumeSource::check,
+                                     &ResumeSource::dispatch,
                                      nullptr,
                                      nullptr,
                                      nullptr};
-    m_wakeSource = g_source_new(&functions, sizeof(WakeSource));
-    reinterpret_cast<WakeSource*>(m_wakeSource)->m_owner = this;
-    g_source_set_priority(m_wakeSource, G_PRIORITY_HIGH);
-    g_source_attach(m_wakeSource, nullptr);
+    m_resumeSource = g_source_new(&functions, sizeof(ResumeSource));
+    reinterpret_cast<ResumeSource*>(m_resumeSource)->m_owner = this;
+    g_source_set_priority(m_resumeSource, G_PRIORITY_HIGH);
+    g_source_attach(m_resumeSource, nullptr);
 }
 
 /**
- * Leases, grants and confirmations have to count the time for which this machine was suspended: the
- * others counted it. By the steady clock a sidecar that woke renewed runs that had begun elsewhere.
+ * Leases, grants and confirmations have to include the time for which this machine was suspended,
+ * because the other processes include that time. With the monotonic clock, a sidecar that resumed
+ * would renew runs that have already started on another worker.
  */
 Millis GlibEventLoop::now() const noexcept {
-    return m_clocks.getWithSuspensions();
+    return m_clocks.getBootTime();
 }
 
 Millis GlibEventLoop::wallNow() const noexcept {
     return Millis(g_get_real_time() / MICROS_PER_MILLI);
 }
 
-Millis GlibEventLoop::getSuspended() const noexcept {
-    return m_clocks.getWithSuspensions() - m_clocks.getRunning();
+Millis GlibEventLoop::getSuspendedTime() const noexcept {
+    return m_clocks.getBootTime() - m_clocks.getMonotonicTime();
 }
 
-bool GlibEventLoop::hasWoken() const noexcept {
-    return getSuspended() > m_suspended + LEAST_SUSPENSION;
+bool GlibEventLoop::hasResumed() const noexcept {
+    return getSuspendedTime() > m_suspended + MIN_SUSPENSION;
 }
 
-void GlibEventLoop::catchUp() {
-    const Millis before = std::exchange(m_suspended, getSuspended());
+void GlibEventLoop::handleResume() {
+    const Millis before = std::exchange(m_suspended, getSuspendedTime());
     logEvent(Severity::WARNING, "loop", "woken",
              {{"suspended_ms", std::to_string((m_suspended - before).count())}});
     const Millis until = now();
-    while (runOverdue(until)) {
+    while (runNextOverdueTimer(until)) {
     }
 }
 
-/** Runs the timer that has been due for longest. @return false when none is due. */
-bool GlibEventLoop::runOverdue(Millis until) {
+/** Runs the timer that became due first. @return false when no timer is due at `until`. */
+bool GlibEventLoop::runNextOverdueTimer(Millis until) {
     const auto first =
             std::min_element(m_timers.begin(), m_timers.end(), [](const auto& a, const auto& b) {
                 return std::tie(a.second.m_due, a.first) < std::tie(b.second.m_due, b.first);
@@ -119,7 +123,7 @@
     if (first == m_timers.end() || first->second.m_due > until) {
         return false;
     }
-    const Pending pending = first->second;
+    const PendingTimer pending = first->second;
     const Task task = std::move(pending.m_timer->m_task);
     m_timers.erase(first);
     g_source_remove(pending.m_source);
@@ -135,7 +139,7 @@
 }
 
 TimerId GlibEventLoop::callLater(Millis delay, Task task) {
-    const std::uint64_t id = m_nextTimer++;
+    const std::uint64_t id = m_nextTimerId++;
     auto* timer = new Timer{this, id, std::move(task)};
     const auto destroy = [](gpointer data) {
         delete static_cast<Timer*>(data);
--- a/libs/base/src/Log.cpp
+++ b/libs/base/src/Log.cpp
@@ -28,8 +28,8 @@
     return SEVERITY_NAMES.at(static_cast<std::size_t>(severity));
 }
 
-/** Boost.Log's own stream sinks wait for the reader; this one does not. */
-class StandardOutput : public logging::sinks::basic_formatted_sink_backend<char> {
+/** Sink for standard output that never blocks, unlike the stream sinks of Boost.Log. */
+class StandardOutputSink : public logging::sinks::basic_formatted_sink_backend<char> {
 public:
     void consume(const logging::record_view& /*record*/, const std::string& line) {
         m_writer.write(line);
@@ -42,7 +42,7 @@
 void setUpSink() {
     namespace expr = logging::expressions;
     logging::add_common_attributes();
-    const auto sink = boost::make_shared<logging::sinks::synchronous_sink<StandardOutput>>();
+    const auto sink = boost::make_shared<logging::sinks::synchronous_sink<StandardOutputSink>>();
     sink->set_formatter(expr::stream << expr::format_date_time<boost::posix_time::ptime>(
                                                 "TimeStamp", "%Y-%m-%dT%H:%M:%S.%f")
                                      << " " << expr::smessage);
@@ -50,18 +50,18 @@
 }
 
 logging::sources::severity_logger<Severity>& getLogger() {
-    static const bool READY = (setUpSink(), true);
+    static const bool IS_SINK_READY = (setUpSink(), true);
     static logging::sources::severity_logger<Severity> logger;
-    static_cast<void>(READY);
+    static_cast<void>(IS_SINK_READY);
     return logger;
 }
 
-Severity& getLevel() {
+Severity& getMinSeverity() {
     static Severity level = Severity::INFO;
     return level;
 }
 
-/** Quotes a value that would otherwise break the line or run into the next field. */
+/** Quotes a value that is empty or contains a delimiter. Line breaks become blanks. */
 std::string quote(std::string_view value) {
     const bool isPlain = value.find_first_of(" \"\n\r\t=") == std::string_view::npos;
     if (isPlain && !value.empty()) {
@@ -81,7 +81,7 @@
 
 void logEvent(Severity severity, std::string_view component, std::string_view event,
               std::initializer_list<LogField> fields) {
-    if (severity < getLevel()) {
+    if (severity < getMinSeverity()) {
         return;
     }
     std::string line;
@@ -93,7 +93,7 @@
 }
 
 void setLogLevel(Severity level) {
-    getLevel() = level;
+    getMinSeverity() = level;
 }
 
 std::optional<Severity> parseSeverity(std::string_view text) {
--- a/libs/base/src/MachineClocks.cpp
+++ b/libs/base/src/MachineClocks.cpp
@@ -16,8 +16,8 @@
 
 class SystemClocks final : public MachineClocks {
 public:
-    Millis getWithSuspensions() const noexcept override { return readClock(CLOCK_BOOTTIME); }
-    Millis getRunning() const noexcept override { return readClock(CLOCK_MONOTONIC); }
+    Millis getBootTime() const noexcept override { return readClock(CLOCK_BOOTTIME); }
+    Millis getMonotonicTime() const noexcept override { return readClock(CLOCK_MONOTONIC); }
 };
 
 }  // namespace
--- a/libs/base/src/Metrics.cpp
+++ b/libs/base/src/Metrics.cpp
@@ -17,13 +17,13 @@
 using Totals = acc::accumulator_set<double, acc::stats<acc::tag::count, acc::tag::sum>>;
 
 constexpr double MEDIAN = 0.5;
-constexpr double HIGH = 0.99;
+constexpr double PERCENTILE_99 = 0.99;
 
 }  // namespace
 
 struct LatencySummary::Detail {
     Quantile m_median{acc::quantile_probability = MEDIAN};
-    Quantile m_high{acc::quantile_probability = HIGH};
+    Quantile m_percentile99{acc::quantile_probability = PERCENTILE_99};
     Totals m_totals;
 };
 
@@ -33,7 +33,7 @@
 void LatencySummary::add(Millis duration) {
     const auto millis = static_cast<double>(duration.count());
     m_detail->m_median(millis);
-    m_detail->m_high(millis);
+    m_detail->m_percentile99(millis);
     m_detail->m_totals(millis);
 }
 
@@ -46,26 +46,26 @@
 }
 
 double LatencySummary::get99th() const {
-    return getCount() == 0 ? 0.0 : acc::p_square_quantile(m_detail->m_high);
+    return getCount() == 0 ? 0.0 : acc::p_square_quantile(m_detail->m_percentile99);
 }
 
 double LatencySummary::getSum() const {
     return acc::sum(m_detail->m_totals);
 }
 
-void MetricsPage::addHead(std::string_view name, std::string_view help, std::string_view type) {
+void MetricsPage::addHeader(std::string_view name, std::string_view help, std::string_view type) {
     m_text.append("# HELP ").append(name).append(" ").append(help).append("\n");
     m_text.append("# TYPE ").append(name).append(" ").append(type).append("\n");
 }
 
 void MetricsPage::addCounter(std::string_view name, std::string_view help, std::uint64_t value) {
-    addHead(name, help, "counter");
+    addHeader(name, help, "counter");
     m_text.append(name).append(" ").append(std::to_string(value)).append("\n");
 }
 
 void MetricsPage::addCounters(std::string_view name, std::string_view help,
                               const std::map<std::string, std::uint64_t>& values) {
-    addHead(name, help, "counter");
+    addHeader(name, help, "counter");
     for (const auto& [labels, value] : values) {
         m_text.append(name).append("{").append(labels).append("} ");
         m_text.append(std::to_string(value)).append("\n");
@@ -73,13 +73,13 @@
 }
 
 void MetricsPage::addGauge(std::string_view name, std::string_view help, double value) {
-    addHead(name, help, "gauge");
+    addHeader(name, help, "gauge");
     m_text.append(name).append(" ").append(std::to_string(value)).append("\n");
 }
 
 void MetricsPage::addSummary(std::string_view name, std::string_view help,
                              const LatencySummary& summary) {
-    addHead(name, help, "summary");
+    addHeader(name, help, "summary");
     const std::string base(name);
     m_text += base + "{quantile=\"0.5\"} " + std::to_string(summary.getMedian()) + "\n";
     m_text += base + "{quantile=\"0.99\"} " + std::to_string(summary.get99th()) + "\n";
--- a/libs/base/src/SettingsFile.cpp
+++ b/libs/base/src/SettingsFile.cpp
@@ -18,8 +18,8 @@
     return std::string(text.substr(first, last - first + 1));
 }
 
-/** Why nobody can listen at an address now; empty when one can. */
-std::string tryToListen(const Address& address) {
+/** Tries to listen at an address. Returns the error message, or an empty text on success. */
+std::string findListenError(const Address& address) {
     GSocketListener* listener = g_socket_listener_new();
     GSocketAddress* socketAddress =
             g_inet_socket_address_new_from_string(address.m_host.c_str(), address.m_port);
@@ -46,7 +46,7 @@
 
 }  // namespace
 
-/** A listen address with its place. */
+/** Listen address with its location in the file. */
 struct ListenSetting {
     std::string m_section;
     std::string m_key;
@@ -57,15 +57,15 @@
     GKeyFile* m_file = g_key_file_new();
     std::string m_name;
     Findings* m_findings = nullptr;
-    std::set<std::string> m_asked;
-    std::vector<ListenSetting> m_listen;
+    std::set<std::string> m_readKeys;
+    std::vector<ListenSetting> m_listenSettings;
 
     Detail() = default;
     Detail(const Detail&) = delete;
     Detail& operator=(const Detail&) = delete;
     ~Detail() { g_key_file_unref(m_file); }
 
-    std::string place(std::string_view section, std::string_view key) const {
+    std::string formatPlace(std::string_view section, std::string_view key) const {
         return m_name + " [" + std::string(section) + "] " + std::string(key);
     }
 };
@@ -108,7 +108,7 @@
 std::optional<std::string> SettingsFile::find(SettingKey key) {
     const std::string section(key.m_section);
     const std::string name(key.m_key);
-    m_detail->m_asked.insert(section + "\n" + name);
+    m_detail->m_readKeys.insert(section + "\n" + name);
     gchar* value = g_key_file_get_string(m_detail->m_file, section.c_str(), name.c_str(), nullptr);
     if (value == nullptr) {
         return std::nullopt;
@@ -123,7 +123,7 @@
 }
 
 void SettingsFile::report(SettingKey key, std::string_view message) {
-    m_detail->m_findings->add(m_detail->place(key.m_section, key.m_key), message);
+    m_detail->m_findings->add(m_detail->formatPlace(key.m_section, key.m_key), message);
 }
 
 std::string SettingsFile::getText(SettingKey key) {
@@ -135,8 +135,8 @@
     return *std::move(value);
 }
 
-std::string SettingsFile::getText(SettingKey key, std::string_view otherwise) {
-    return find(key).value_or(std::string(otherwise));
+std::string SettingsFile::getText(SettingKey key, std::string_view defaultValue) {
+    return find(key).value_or(std::string(defaultValue));
 }
 
 Address SettingsFile::getAddress(SettingKey key) {
@@ -156,14 +156,15 @@
 Address SettingsFile::getListenAddress(SettingKey key) {
     Address address = getAddress(key);
     if (address.m_port != 0) {
-        m_detail->m_listen.push_back({std::string(key.m_section), std::string(key.m_key), address});
+        m_detail->m_listenSettings.push_back(
+                {std::string(key.m_section), std::string(key.m_key), address});
     }
     return address;
 }
 
 void SettingsFile::reportAddressesInUse() {
-    for (const ListenSetting& setting : m_detail->m_listen) {
-        const std::string problem = tryToListen(setting.m_address);
+    for (const ListenSetting& setting : m_detail->m_listenSettings) {
+        const std::string problem = findListenError(setting.m_address);
         if (!problem.empty()) {
             report({setting.m_section, setting.m_key},
                    setting.m_address.toText() + " cannot be listened at: " + problem);
@@ -188,59 +189,60 @@
     return addresses;
 }
 
-double SettingsFile::getReal(SettingKey key, double otherwise, double least, double most) {
+double SettingsFile::getReal(SettingKey key, double defaultValue, double minimum, double maximum) {
     const auto value = find(key);
     if (!value.has_value()) {
-        return otherwise;
+        return defaultValue;
     }
     double number = 0;
     const char* const end = value->data() + value->size();
     const auto parsed = std::from_chars(value->data(), end, number);
-    const bool isInRange = number >= least && number <= most;
+    const bool isInRange = number >= minimum && number <= maximum;
     if (parsed.ec != std::errc() || parsed.ptr != end || !isInRange) {
-        report(key, "`" + *value + "` is not a number from " + std::to_string(least) + " to " +
-                            std::to_string(most));
-        return otherwise;
+        report(key, "`" + *value + "` is not a number from " + std::to_string(minimum) + " to " +
+                            std::to_string(maximum));
+        return defaultValue;
     }
     return number;
 }
 
-bool SettingsFile::getSwitch(SettingKey key, bool otherwise) {
+bool SettingsFile::getSwitch(SettingKey key, bool defaultValue) {
     const auto value = find(key);
     if (value.has_value() && *value != "on" && *value != "off") {
         report(key, "`" + *value + "` is neither on nor off");
-        return otherwise;
+        return defaultValue;
     }
-    return value.has_value() ? *value == "on" : otherwise;
+    return value.has_value() ? *value == "on" : defaultValue;
 }
 
-std::int64_t SettingsFile::getNumber(SettingKey key, std::int64_t otherwise, std::int64_t least,
-                                     std::int64_t most) {
+std::int64_t SettingsFile::getNumber(SettingKey key, std::int64_t defaultValue,
+                                     std::int64_t minimum, std::int64_t maximum) {
     const auto value = find(key);
     if (!value.has_value()) {
-        return otherwise;
+        return defaultValue;
     }
     std::int64_t number = 0;
     const char* const end = value->data() + value->size();
     const auto parsed = std::from_chars(value->data(), end, number);
-    if (parsed.ec != std::errc() || parsed.ptr != end || number < least || number > most) {
-        report(key, "`" + *value + "` is not a whole number from " + std::to_string(least) +
-                            " to " + std::to_string(most));
-        return otherwise;
+    if (parsed.ec != std::errc() || parsed.ptr != end || number < minimum || number > maximum) {
+        report(key, "`" + *value + "` is not a whole number from " + std::to_string(minimum) +
+                            " to " + std::to_string(maximum));
+        return defaultValue;
     }
     return number;
 }
 
-Millis SettingsFile::getDuration(SettingKey key, Millis otherwise, Millis least, Millis most) {
+Millis SettingsFile::getDuration(SettingKey key, Millis defaultValue, Millis minimum,
+                                 Millis maximum) {
     const auto value = find(key);
     if (!value.has_value()) {
-        return otherwise;
+        return defaultValue;
     }
     const auto duration = parseDuration(*value);
-    if (!duration.has_value() || *duration < least || *duration > most) {
+    if (!duration.has_value() || *duration < minimum || *duration > maximum) {
         report(key, "`" + *value + "` is not a time with its unit (ms, s, min, h, d) from " +
-                            formatDuration(least) + " to " + formatDuration(most));
-        return otherwise;
+                            formatDuration(minimum) + " to " + formatDuration(maximum));
+        return defaultValue;
     }
     return *duration;
 }
@@ -260,7 +262,7 @@
     gchar** groups = g_key_file_get_groups(m_detail->m_file, nullptr);
     for (gchar** group = groups; *group != nullptr; ++group) {
         for (const std::string& key : getKeys(*group)) {
-            if (m_detail->m_asked.count(std::string(*group) + "\n" + key) == 0) {
+            if (m_detail->m_readKeys.count(std::string(*group) + "\n" + key) == 0) {
                 report({*group, key}, "is not a known setting");
             }
         }
--- a/libs/base/src/UnreadableInputs.cpp
+++ b/libs/base/src/UnreadableInputs.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-constexpr std::uint64_t TOLD_EACH = 10;
+/** Number of entries of a kind that are all logged. */
+constexpr std::uint64_t FULLY_LOGGED_COUNT = 10;
 
 std::map<std::string, std::uint64_t, std::less<>>& getCounts() {
     static std::map<std::string, std::uint64_t, std::less<>> counts;
@@ -21,7 +22,7 @@
 void reportUnreadable(std::string_view component, std::string_view event,
                       std::initializer_list<LogField> fields) {
     const std::uint64_t count = ++getCounts()[std::string(component) + " " + std::string(event)];
-    if (count > TOLD_EACH && !std::has_single_bit(count)) {
+    if (count > FULLY_LOGGED_COUNT && !std::has_single_bit(count)) {
         return;
     }
     std::string entry;
@@ -31,9 +32,9 @@
                 .append("=")
                 .append(field.m_value);
     }
-    constexpr std::size_t MOST_BYTES = 400;
+    constexpr std::size_t MAX_ENTRY_BYTES = 400;
     logEvent(Severity::ERROR, component, event,
-             {{"count", std::to_string(count)}, {"entry", entry.substr(0, MOST_BYTES)}});
+             {{"count", std::to_string(count)}, {"entry", entry.substr(0, MAX_ENTRY_BYTES)}});
 }
 
 std::uint64_t countUnreadable() {
--- a/libs/base/test/GlibEventLoopTest.cpp
+++ b/libs/base/test/GlibEventLoopTest.cpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 /*
- * The users' machines may be suspended for seconds: the steady clock stands still meanwhile, the
- * others go on. With the steady clock a process that wakes takes its leases for as fresh as before.
+ * Machines may be suspended for seconds. CLOCK_MONOTONIC stops meanwhile, while the clocks of other
+ * machines advance. A process that measured time with it would treat expired leases as valid after
+ * it resumes.
  */
 #include "pierbank/base/GlibEventLoop.h"
 
@@ -13,20 +14,25 @@
 namespace pierbank {
 namespace {
 
-/** Both go on with the machine's clock; a suspension is added to one. */
+/** Clocks that follow the monotonic clock of the system, with a simulated suspension. */
 class SuspendedClocks final : public MachineClocks {
 public:
-    Millis getWithSuspensions() const noexcept override { return getRunning() + m_suspended; }
-    Millis getRunning() const noexcept override { return getSystemClocks().getRunning(); }
+    Millis getBootTime() const noexcept override { return getMonotonicTime() + m_suspended; }
+    Millis getMonotonicTime() const noexcept override {
+        return getSystemClocks().getMonotonicTime();
+    }
     Millis m_suspended{0};
 };
 
-/** A loop with a timer of a minute, one of ten, and one that has just been set. */
-class ALoopWhoseMachineIsSuspended : public ::testing::Test {
+/**
+ * A loop with timers of one and of ten minutes. A suspension of 70 seconds is simulated in its
+ * first iteration, which sets a further timer of 50 ms to end the test.
+ */
+class SuspendedEventLoopTest : public ::testing::Test {
 protected:
     void SetUp() override {
-        note("minute", Millis(60'000));
-        m_tenMinutes = note("ten minutes", Millis(600'000));
+        addTimer("minute", Millis(60'000));
+        m_tenMinutes = addTimer("ten minutes", Millis(600'000));
         m_loop.post([this] {
             m_clocks.m_suspended += Millis(70'000);
             m_loop.callLater(Millis(50), [this] { m_loop.quit(); });
@@ -34,7 +40,7 @@
         m_loop.post([this] { m_ran.emplace_back("arrived"); });
     }
 
-    TimerId note(const char* name, Millis delay) {
+    TimerId addTimer(const char* name, Millis delay) {
         return m_loop.callLater(delay, [this, name] { m_ran.emplace_back(name); });
     }
 
@@ -44,35 +50,35 @@
     std::vector<std::string> m_ran;
 };
 
-TEST_F(ALoopWhoseMachineIsSuspended, CountsTheTime) {
+TEST_F(SuspendedEventLoopTest, IncludesTheSuspensionInNow) {
     const Millis before = m_loop.now();
     m_loop.run();
     EXPECT_GE(m_loop.now() - before, Millis(70'000));
 }
 
-TEST_F(ALoopWhoseMachineIsSuspended, RunsWhatIsOverdueAndNothingElse) {
+TEST_F(SuspendedEventLoopTest, RunsOnlyOverdueTimers) {
     m_loop.run();
     EXPECT_EQ(std::count(m_ran.begin(), m_ran.end(), "minute"), 1);
     EXPECT_EQ(std::count(m_ran.begin(), m_ran.end(), "ten minutes"), 0);
 }
 
-TEST_F(ALoopWhoseMachineIsSuspended, RunsOverdueTimersInTheOrderOfTheirTimes) {
-    note("half a minute", Millis(30'000));
-    note("two seconds", Millis(2000));
+TEST_F(SuspendedEventLoopTest, RunsOverdueTimersInOrderOfDueTime) {
+    addTimer("half a minute", Millis(30'000));
+    addTimer("two seconds", Millis(2000));
     m_loop.run();
     std::erase(m_ran, "arrived");
     EXPECT_EQ(m_ran, (std::vector<std::string>{"two seconds", "half a minute", "minute"}));
 }
 
-TEST_F(ALoopWhoseMachineIsSuspended, RunsNoTimerThatAnOverdueOneCancels) {
-    const TimerId later = note("cancelled", Millis(65'000));
+TEST_F(SuspendedEventLoopTest, DoesNotRunATimerCancelledByAnOverdueTimer) {
+    const TimerId later = addTimer("cancelled", Millis(65'000));
     m_loop.callLater(Millis(1000), [this, later] { m_loop.cancel(later); });
     m_loop.run();
     EXPECT_EQ(std::count(m_ran.begin(), m_ran.end(), "cancelled"), 0);
 }
 
-/** What arrived during the suspension is handled by a process that knows what has lapsed. */
-TEST_F(ALoopWhoseMachineIsSuspended, RunsOverdueTimersBeforeItHandlesWhatHasArrived) {
+/** Data received during a suspension must be handled after the timers of lapsed leases have run. */
+TEST_F(SuspendedEventLoopTest, RunsOverdueTimersBeforeReceivedData) {
     const auto handle = [](gpointer data) -> gboolean {
         static_cast<std::vector<std::string>*>(data)->emplace_back("socket");
         return G_SOURCE_REMOVE;
--- a/libs/base/test/UnreadableInputsTest.cpp
+++ b/libs/base/test/UnreadableInputsTest.cpp
@@ -6,8 +6,8 @@
 namespace pierbank {
 namespace {
 
-/** A writer that never stops fills no log: of a thousand entries seventeen are told. */
-TEST(UnreadableInputsTest, AreAllCountedAndToldNowAndThen) {
+/** A faulty writer must not flood the log: of 1000 entries, seventeen are logged. */
+TEST(UnreadableInputsTest, CountsAllEntriesAndLogsSome) {
     const std::uint64_t before = countUnreadable();
     ::testing::internal::CaptureStdout();
     for (int i = 0; i < 1000; ++i) {
--- a/libs/daemon/include/pierbank/daemon/Gateway.h
+++ b/libs/daemon/include/pierbank/daemon/Gateway.h
@@ -15,15 +15,17 @@
 
 namespace pierbank {
 
-/** Names of the headers that callers use. */
+/** Names of the HTTP headers of callers' requests. */
 struct CallerHeaders {
-    std::string m_key;
-    std::string m_patience;
+    /** Header with the API key of an organisation. */
+    std::string m_apiKey;
+    /** Header with the time that the caller waits for the answer, in milliseconds. */
+    std::string m_timeout;
 };
 
 /**
- * A gateway: callers' requests are answered at every gateway, and the one that holds the leader
- * key runs the jobs.
+ * Gateway process. Every gateway answers callers' requests and operators' statements. The gateway
+ * that holds the leader key also schedules the jobs. Owned by main(); runs on the event loop.
  */
 class Gateway {
 public:
@@ -34,31 +36,38 @@
     Gateway(const Gateway&) = delete;
     Gateway& operator=(const Gateway&) = delete;
 
-    /** @return false with `reason` when an address is not free. */
+    /**
+     * Starts to listen at all addresses and to compete for the leadership.
+     * @return false with `reason` when an address cannot be used.
+     */
     bool start(Reason& reason);
-    /** Hands the leadership over, answers what was asked, and calls `done` at the end. */
-    void leave(std::function<void()> done);
+    /**
+     * Begins a planned stop: releases the leadership, answers the pending requests, and calls
+     * `done` once, at the latest after GatewaySettings::m_drainTimeout. Has no effect on later
+     * calls.
+     */
+    void shutDown(std::function<void()> done);
 
 private:
-    void handleCaller(const HttpServerRequest& request,
-                      const std::shared_ptr<HttpServerCall>& call);
-    void handleReady(const std::shared_ptr<HttpServerCall>& call) const;
-    void finishLeaving();
+    void handleCallerRequest(const HttpServerRequest& request,
+                             const std::shared_ptr<HttpServerCall>& call);
+    void handleReadinessCheck(const std::shared_ptr<HttpServerCall>& call) const;
+    void awaitPendingRequests();
 
     EventLoop& m_loop;
     const CallerHeaders m_headers;
     const GatewaySettings m_settings;
     CountingStore m_store;
     JobCore m_core;
-    HttpServer m_front;
-    HttpServer m_ready;
+    HttpServer m_callerServer;
+    HttpServer m_readinessServer;
     JobBackend::CallerFigures m_callers;
     JobBackend m_backend;
     OperatorServer m_operators;
-    std::size_t m_inProgress = 0;
-    bool m_isLeaving = false;
-    bool m_isClosing = false;
-    std::function<void()> m_onLeft;
+    std::size_t m_pendingRequests = 0;
+    bool m_isShuttingDown = false;
+    bool m_hasStoppedListening = false;
+    std::function<void()> m_onShutDown;
 };
 
 }  // namespace pierbank
--- a/libs/daemon/include/pierbank/daemon/GatewaySettings.h
+++ b/libs/daemon/include/pierbank/daemon/GatewaySettings.h
@@ -15,32 +15,39 @@
 struct GatewaySettings {
     std::string m_logLevel = "info";
     std::string m_name;
-    /** Callers' requests. */
-    Address m_front;
-    /** The balancer's question whether to send connections here. */
-    Address m_ready;
-    /** Operators' questions and metrics. */
+    /** Listen address for callers' requests. */
+    Address m_callerAddress;
+    /** Listen address for the readiness checks of the load balancer. */
+    Address m_readinessAddress;
+    /** Listen address for operators' statements, health checks and metrics. */
     Address m_operators;
+    /** Address of the platform's key-value store. */
     Address m_store;
-    /** Who knows which workers may run the steps of queues with advice. */
+    /** Address of the platform's placement advice, if the platform has one. */
     std::optional<Address> m_advice;
-    /** Who keeps the machines, for upkeep waves. */
+    /** Address of the platform's machine management for upkeep waves, if the platform has one. */
     std::optional<Address> m_machines;
     JobCoreSettings m_core;
-    /** Who may give statements. */
+    /** Bearer tokens of the operators that may execute statements. */
     OperatorTokens m_tokens;
-    /** A gateway whose configuration was confirmed longer ago asks for no new connections. */
-    Millis m_readyAge{2000};
-    /** After SIGTERM connections still come for so long: the balancer looks once a second. */
-    Millis m_leaveTime{2600};
-    /** After SIGTERM the process ends at the latest after this time. */
-    Millis m_drainTime{4800};
+    /**
+     * Maximum age of the configuration of a gateway that reports itself as ready. An older
+     * configuration is permitted while the gateway has a usable link to another leader.
+     */
+    Millis m_maxReadyAge{2000};
+    /**
+     * Time after SIGTERM for which new connections are still accepted. The load balancer checks the
+     * readiness once a second, and continues to open connections until its next check.
+     */
+    Millis m_stopListeningDelay{2600};
+    /** Maximum time from SIGTERM to the end of the process. */
+    Millis m_drainTimeout{4800};
 };
 
-/** Reads and checks all settings; what is wrong is in the file's findings. */
+/** Reads and checks all settings. Errors are added to the findings of the file. */
 GatewaySettings readGatewaySettings(SettingsFile& file);
 
-/** Reads `[operators]`: names and their bearer tokens. */
+/** Reads the section `[operators]`, which maps the name of each operator to a bearer token. */
 OperatorTokens readOperatorTokens(SettingsFile& file);
 
 }  // namespace pierbank
--- a/libs/daemon/include/pierbank/daemon/Sidecar.h
+++ b/libs/daemon/include/pierbank/daemon/Sidecar.h
@@ -17,21 +17,26 @@
 struct SidecarSettings {
     std::string m_logLevel = "info";
     std::string m_name;
-    /** Where the worker sends its beats. */
-    Address m_beats;
-    /** Where leaders connect. */
+    /** Listen address for the heartbeats of the worker. */
+    Address m_heartbeatAddress;
+    /** Listen address for the links of leaders. */
     Address m_links;
-    /** Where leaders find that address; the same unless something forwards to it. */
-    Address m_reachedAt;
+    /** Address to which leaders connect; differs from m_links if connections are forwarded. */
+    Address m_advertisedAddress;
+    /** Address of the worker beside this sidecar. */
     Address m_worker;
+    /** Address of the platform's key-value store. */
     Address m_store;
     WorkerAgentSettings m_agent;
 };
 
-/** Reads and checks all settings; what is wrong is in the file's findings. */
+/** Reads and checks all settings. Errors are added to the findings of the file. */
 SidecarSettings readSidecarSettings(SettingsFile& file);
 
-/** A sidecar: takes the worker's beats, makes itself known in the store, and serves the leader. */
+/**
+ * Sidecar process beside a worker. Receives the heartbeats of the worker, registers itself in the
+ * store, and executes the orders of the leader. Owned by main(); runs on the event loop.
+ */
 class Sidecar {
 public:
     /** The references must outlive the sidecar. */
@@ -40,7 +45,10 @@
     Sidecar(const Sidecar&) = delete;
     Sidecar& operator=(const Sidecar&) = delete;
 
-    /** @return false with `reason` when an address is not free. */
+    /**
+     * Starts to listen at all addresses and registers the sidecar.
+     * @return false with `reason` when an address cannot be used.
+     */
     bool start(Reason& reason);
 
 private:
@@ -52,7 +60,7 @@
     const SidecarSettings m_settings;
     WorkerAgent m_agent;
     Registration m_registration;
-    HttpServer m_beats;
+    HttpServer m_heartbeatServer;
 };
 
 }  // namespace pierbank
--- a/libs/daemon/src/GatewaySettings.cpp
+++ b/libs/daemon/src/GatewaySettings.cpp
@@ -9,8 +9,9 @@
 
 namespace {
 
-constexpr Millis LEAST{100};
-constexpr Millis MOST{600'000};
+/** Range of most durations. */
+constexpr Millis MIN_DURATION{100};
+constexpr Millis MAX_DURATION{600'000};
 constexpr double MILLIS_PER_SECOND = 1000.0;
 
 Millis scale(Millis time, double factor) {
@@ -23,12 +24,12 @@
     if (!parseSeverity(settings.m_logLevel).has_value()) {
         file.report({"gateway", "log-level"}, "is not debug, info, warning or error");
     }
-    settings.m_front = file.getListenAddress({"gateway", "front"});
-    settings.m_ready = file.getListenAddress({"gateway", "ready"});
+    settings.m_callerAddress = file.getListenAddress({"gateway", "front"});
+    settings.m_readinessAddress = file.getListenAddress({"gateway", "ready"});
     settings.m_operators = file.getListenAddress({"gateway", "operators"});
-    if (settings.m_operators.m_port != 0 && settings.m_operators == settings.m_front) {
+    if (settings.m_operators.m_port != 0 && settings.m_operators == settings.m_callerAddress) {
         file.report({"gateway", "operators"},
-                    "is the callers' address: they need one of their own");
+                    "is the callers' address; operators need a separate address");
     }
     settings.m_core.m_links = file.getListenAddress({"gateway", "links"});
     settings.m_store = file.getAddress({"store", "address"});
@@ -40,56 +41,64 @@
     }
 }
 
-/** What the host gives decides who leads; without it all gateways are taken for alike. */
-void readHost(SettingsFile& file, LeadershipCandidacySettings& bid) {
-    constexpr double LEAST_SHARE = 0.001;
-    constexpr double MOST_SHARE = 1024;
-    constexpr double MOST_MBPS = 1'000'000;
-    bid.m_processorShare = file.getReal({"host", "processor-share"}, bid.m_processorShare,
-                                        LEAST_SHARE, MOST_SHARE);
-    bid.m_linkMbps = file.getReal({"host", "link-mbps"}, bid.m_linkMbps, 1, MOST_MBPS);
+/**
+ * Reads the resources that the host gives this process, which determine its fitness to lead.
+ * Without these settings all gateways are considered equally fit.
+ */
+void readHostResources(SettingsFile& file, LeadershipCandidacySettings& candidacy) {
+    constexpr double MIN_SHARE = 0.001;
+    constexpr double MAX_SHARE = 1024;
+    constexpr double MAX_MBPS = 1'000'000;
+    candidacy.m_processorShare = file.getReal({"host", "processor-share"},
+                                              candidacy.m_processorShare, MIN_SHARE, MAX_SHARE);
+    candidacy.m_linkMbps = file.getReal({"host", "link-mbps"}, candidacy.m_linkMbps, 1, MAX_MBPS);
 }
 
-/** A planned stop has to be over before the platform kills the process. */
-void readGrace(SettingsFile& file, GatewaySettings& settings) {
-    // Shares of a grace of 6 s at which the defaults were measured (MEASUREMENTS.md).
-    constexpr double LEAVE_SHARE = 0.43;
+/** Limits the duration of a planned stop, which must end before the platform kills the process. */
+void readGracePeriod(SettingsFile& file, GatewaySettings& settings) {
+    // Fractions of the grace period. The default settings match a grace period of 6 s.
+    constexpr double STOP_LISTENING_SHARE = 0.43;
     constexpr double DRAIN_SHARE = 0.8;
     if (!file.has({"gateway", "grace-seconds"})) {
         return;
     }
     const double seconds = file.getReal({"gateway", "grace-seconds"}, 6, 1, 3600);
-    const Millis grace(static_cast<std::int64_t>(seconds * MILLIS_PER_SECOND));
-    settings.m_leaveTime = std::min(settings.m_leaveTime, scale(grace, LEAVE_SHARE));
-    settings.m_drainTime = std::max(scale(grace, DRAIN_SHARE), settings.m_leaveTime);
+    const Millis gracePeriod(static_cast<std::int64_t>(seconds * MILLIS_PER_SECOND));
+    settings.m_stopListeningDelay =
+            std::min(settings.m_stopListeningDelay, scale(gracePeriod, STOP_LISTENING_SHARE));
+    settings.m_drainTimeout =
+            std::max(scale(gracePeriod, DRAIN_SHARE), settings.m_stopListeningDelay);
 }
 
+/** Reads the leases and the settings of the planner. */
 void readSchedule(SettingsFile& file, GatewaySettings& settings) {
     auto& leader = settings.m_core.m_leader;
-    const Millis leastLease =
-            file.getDuration({"store", "least-lease"}, leader.m_timeToLive, LEAST, MOST);
-    leader.m_timeToLive = file.getDuration({"store", "leader-lease"},
-                                           std::max(leader.m_timeToLive, leastLease), LEAST, MOST);
+    const Millis minLease = file.getDuration({"store", "least-lease"}, leader.m_timeToLive,
+                                             MIN_DURATION, MAX_DURATION);
+    leader.m_timeToLive =
+            file.getDuration({"store", "leader-lease"}, std::max(leader.m_timeToLive, minLease),
+                             MIN_DURATION, MAX_DURATION);
     auto& workers = settings.m_core.m_workers;
-    // A worker cuts a longer lease down, and the lease has to reach it first.
+    // Workers shorten longer leases, and a part of the lease elapses before its grant arrives.
     constexpr double GRANT_SHARE = 0.75;
-    const Millis longest =
-            file.getDuration({"workers", "longest-hold"},
-                             scale(workers.m_leaseDuration, 1 / GRANT_SHARE), LEAST, MOST);
+    const Millis maxLease = file.getDuration({"workers", "longest-hold"},
+                                             scale(workers.m_leaseDuration, 1 / GRANT_SHARE),
+                                             MIN_DURATION, MAX_DURATION);
     workers.m_leaseDuration = file.getDuration(
-            {"workers", "grant"}, std::min(workers.m_leaseDuration, scale(longest, GRANT_SHARE)),
-            LEAST, MOST);
-    workers.m_maxWorkerLease = longest;
-    if (workers.m_leaseDuration > longest) {
-        file.report({"workers", "grant"}, "is longer than a worker holds (longest-hold)");
+            {"workers", "grant"}, std::min(workers.m_leaseDuration, scale(maxLease, GRANT_SHARE)),
+            MIN_DURATION, MAX_DURATION);
+    workers.m_maxWorkerLease = maxLease;
+    if (workers.m_leaseDuration > maxLease) {
+        file.report({"workers", "grant"},
+                    "is longer than the longest lease that a worker accepts (longest-hold)");
     }
-    workers.m_outageGrace =
-            file.getDuration({"workers", "outage-grace"}, workers.m_outageGrace, Millis(0), MOST);
+    workers.m_outageGrace = file.getDuration({"workers", "outage-grace"}, workers.m_outageGrace,
+                                             Millis(0), MAX_DURATION);
     auto& planner = settings.m_core.m_jobs.m_planner;
     planner.m_remoteFactor =
             file.getReal({"planner", "far-factor"}, planner.m_remoteFactor, 1, 1000);
-    planner.m_settleTime =
-            file.getDuration({"planner", "settle-time"}, planner.m_settleTime, Millis(0), MOST);
+    planner.m_settleTime = file.getDuration({"planner", "settle-time"}, planner.m_settleTime,
+                                            Millis(0), MAX_DURATION);
     constexpr Millis DAY{86'400'000};
     planner.m_minStarvationWait = file.getDuration({"planner", "starvation-bound"},
                                                    planner.m_minStarvationWait, Millis(1000), DAY);
@@ -97,23 +106,24 @@
             file.getNumber({"planner", "fragmentation-weight"}, 0, 0, 100));
 }
 
-/** Placing stops when the list is three fifths of the bound old; see EvacuationFeed. */
+/**
+ * Derives the polling interval of the evacuations and the start timeout of runs from the bound.
+ * Work is no longer placed once the polled list is older than three fifths of the bound; see
+ * EvacuationFeed.
+ */
 void readEvacuations(SettingsFile& file, JobControllerSettings& jobs) {
-    constexpr double BEGIN_SHARE = 0.2;
-    constexpr double READ_SHARE = 0.1;
-    constexpr Millis LEAST_BOUND{1000};
+    constexpr double START_SHARE = 0.2;
+    constexpr double POLL_SHARE = 0.1;
+    constexpr Millis MIN_BOUND{1000};
     EvacuationFeedSettings& feed = jobs.m_evacuations;
-    feed.m_maxEnforcementDelay = file.getDuration({"evacuations", "bound"},
-                                                  feed.m_maxEnforcementDelay, LEAST_BOUND, MOST);
-    feed.m_interval = std::min(feed.m_interval, scale(feed.m_maxEnforcementDelay, READ_SHARE));
+    feed.m_maxEnforcementDelay = file.getDuration(
+            {"evacuations", "bound"}, feed.m_maxEnforcementDelay, MIN_BOUND, MAX_DURATION);
+    feed.m_interval = std::min(feed.m_interval, scale(feed.m_maxEnforcementDelay, POLL_SHARE));
     jobs.m_startTimeout =
-            std::min(jobs.m_startTimeout, scale(feed.m_maxEnforcementDelay, BEGIN_SHARE));
+            std::min(jobs.m_startTimeout, scale(feed.m_maxEnforcementDelay, START_SHARE));
 }
 
-/**
- * Each mechanism of the decisions can be switched off, to see what it is worth; docs/DECISIONS.md
- * has the figures.
- */
+/** Reads the switches that disable single scheduling mechanisms, to measure their effect. */
 void readSwitches(SettingsFile& file, JobCoreSettings& core) {
     auto& planner = core.m_jobs.m_planner;
     planner.m_excludesFailedHosts = file.getSwitch({"switches", "bars-hosts"}, true);
@@ -139,15 +149,16 @@
     OperatorTokens tokens;
     for (const std::string& name : file.getKeys("operators")) {
         const std::string token = file.getText({"operators", name});
-        constexpr std::size_t LEAST_TOKEN_BYTES = 8;
-        if (token.size() < LEAST_TOKEN_BYTES) {
+        constexpr std::size_t MIN_TOKEN_BYTES = 8;
+        if (token.size() < MIN_TOKEN_BYTES) {
             file.report({"operators", name}, "the token has fewer than 8 characters");
         } else if (!tokens.emplace(token, name).second) {
             file.report({"operators", name}, "another operator has the same token");
         }
     }
     if (tokens.empty()) {
-        file.report({"operators", "*"}, "no operator is named: nobody could give statements");
+        file.report({"operators", "*"},
+                    "no operator is named, so that all statements would be refused");
     }
     return tokens;
 }
@@ -155,8 +166,8 @@
 GatewaySettings readGatewaySettings(SettingsFile& file) {
     GatewaySettings settings;
     readAddresses(file, settings);
-    readGrace(file, settings);
-    readHost(file, settings.m_core.m_candidacy);
+    readGracePeriod(file, settings);
+    readHostResources(file, settings.m_core.m_candidacy);
     settings.m_core.m_configuration.m_linkMbps = settings.m_core.m_candidacy.m_linkMbps;
     settings.m_tokens = readOperatorTokens(file);
     readSchedule(file, settings);
--- a/libs/daemon/src/Sidecar.cpp
+++ b/libs/daemon/src/Sidecar.cpp
@@ -17,8 +17,8 @@
           m_settings(std::move(settings)),
           m_agent(loop, worker, m_settings.m_agent),
           m_registration(store, loop, [this] { return m_agent.hasLeader(); }),
-          m_beats([this](const HttpServerRequest& request,
-                         const std::shared_ptr<HttpServerCall>& call) {
+          m_heartbeatServer([this](const HttpServerRequest& request,
+                                   const std::shared_ptr<HttpServerCall>& call) {
               handleHeartbeat(request, call);
           }) {}
 
@@ -26,7 +26,7 @@
     const auto onLink = [this](std::shared_ptr<Link> link) {
         m_agent.handleLink(std::move(link));
     };
-    if (!m_beats.listen(m_settings.m_beats, reason) ||
+    if (!m_heartbeatServer.listen(m_settings.m_heartbeatAddress, reason) ||
         !m_transport.listen(m_settings.m_links, onLink, reason)) {
         return false;
     }
@@ -34,7 +34,7 @@
              {{"name", m_settings.m_name},
               {"links", m_settings.m_links.toText()},
               {"worker", m_settings.m_worker.toText()}});
-    m_registration.start(getHostKey(m_settings.m_reachedAt.toText()));
+    m_registration.start(getHostKey(m_settings.m_advertisedAddress.toText()));
     return true;
 }
 
--- a/libs/daemon/src/SidecarSettings.cpp
+++ b/libs/daemon/src/SidecarSettings.cpp
@@ -11,17 +11,18 @@
     if (!parseSeverity(settings.m_logLevel).has_value()) {
         file.report({"sidecar", "log-level"}, "is not debug, info, warning or error");
     }
-    settings.m_beats = file.getListenAddress({"sidecar", "beats"});
+    settings.m_heartbeatAddress = file.getListenAddress({"sidecar", "beats"});
     settings.m_links = file.getListenAddress({"sidecar", "links"});
-    settings.m_reachedAt = file.has({"sidecar", "reached-at"})
-                                   ? file.getAddress({"sidecar", "reached-at"})
-                                   : settings.m_links;
+    settings.m_advertisedAddress = file.has({"sidecar", "reached-at"})
+                                           ? file.getAddress({"sidecar", "reached-at"})
+                                           : settings.m_links;
     settings.m_worker = file.getAddress({"sidecar", "worker"});
     settings.m_store = file.getAddress({"store", "address"});
-    constexpr Millis LEAST{100};
-    constexpr Millis MOST{60'000};
-    settings.m_agent.m_requestInterval = file.getDuration(
-            {"sidecar", "ask-interval"}, settings.m_agent.m_requestInterval, LEAST, MOST);
+    constexpr Millis MIN_INTERVAL{100};
+    constexpr Millis MAX_INTERVAL{60'000};
+    settings.m_agent.m_requestInterval =
+            file.getDuration({"sidecar", "ask-interval"}, settings.m_agent.m_requestInterval,
+                             MIN_INTERVAL, MAX_INTERVAL);
     file.reportUnknownKeys();
     return settings;
 }
--- a/libs/daemon/test/GatewaySettingsTest.cpp
+++ b/libs/daemon/test/GatewaySettingsTest.cpp
@@ -6,7 +6,7 @@
 namespace pierbank {
 namespace {
 
-constexpr const char* LEAST = R"([gateway]
+constexpr const char* REQUIRED_SETTINGS = R"([gateway]
 name=g
 front=127.0.0.1:7201
 ready=127.0.0.1:7202
@@ -20,8 +20,8 @@
 
 class GatewaySettingsTest : public ::testing::Test {
 protected:
-    GatewaySettings read(const std::string& more) {
-        auto file = SettingsFile::parse(LEAST + more, "gateway.ini", m_findings);
+    GatewaySettings read(const std::string& additional) {
+        auto file = SettingsFile::parse(REQUIRED_SETTINGS + additional, "gateway.ini", m_findings);
         EXPECT_TRUE(file.has_value());
         return readGatewaySettings(*file);
     }
@@ -29,7 +29,7 @@
     Findings m_findings;
 };
 
-TEST_F(GatewaySettingsTest, HaveEveryMechanismOnByDefault) {
+TEST_F(GatewaySettingsTest, EnableAllMechanismsByDefault) {
     const GatewaySettings settings = read("");
     EXPECT_TRUE(m_findings.isEmpty()) << m_findings.toText();
     EXPECT_TRUE(settings.m_core.m_jobs.m_reservesHeadroom);
@@ -37,14 +37,14 @@
     EXPECT_TRUE(settings.m_core.m_intake.m_hedgesSubmissions);
 }
 
-TEST_F(GatewaySettingsTest, SwitchMechanismsOff) {
+TEST_F(GatewaySettingsTest, DisableSwitchedOffMechanisms) {
     const GatewaySettings settings = read("[switches]\nkeeps-room=off\nclaims=off\n");
     EXPECT_TRUE(m_findings.isEmpty()) << m_findings.toText();
     EXPECT_FALSE(settings.m_core.m_jobs.m_reservesHeadroom);
     EXPECT_EQ(settings.m_core.m_jobs.m_planner.m_maxReservations, 0U);
 }
 
-TEST_F(GatewaySettingsTest, TakeTheBoundOfEvacuationsFromTheSheetAndReadOftenEnoughForIt) {
+TEST_F(GatewaySettingsTest, DeriveEvacuationIntervalsFromTheBound) {
     const GatewaySettings settings = read("[evacuations]\nbound=2000ms\n");
     EXPECT_TRUE(m_findings.isEmpty()) << m_findings.toText();
     EXPECT_EQ(settings.m_core.m_jobs.m_evacuations.m_maxEnforcementDelay, Millis(2000));
@@ -55,18 +55,18 @@
     EXPECT_NE(m_findings.toText().find("bound"), std::string::npos);
 }
 
-TEST_F(GatewaySettingsTest, TakeWhatTheHostGivesAndAllForAlikeWithoutIt) {
-    const LeadershipCandidacySettings bid =
+TEST_F(GatewaySettingsTest, ReadHostResourcesWithDefaults) {
+    const LeadershipCandidacySettings candidacy =
             read("[host]\nprocessor-share=0.12\nlink-mbps=20\n").m_core.m_candidacy;
     EXPECT_TRUE(m_findings.isEmpty()) << m_findings.toText();
-    EXPECT_DOUBLE_EQ(bid.m_processorShare, 0.12);
-    EXPECT_DOUBLE_EQ(bid.m_linkMbps, 20);
+    EXPECT_DOUBLE_EQ(candidacy.m_processorShare, 0.12);
+    EXPECT_DOUBLE_EQ(candidacy.m_linkMbps, 20);
     EXPECT_DOUBLE_EQ(read("").m_core.m_candidacy.m_processorShare, 1.0);
     read("[host]\nprocessor-share=none\n");
     EXPECT_NE(m_findings.toText().find("processor-share"), std::string::npos);
 }
 
-TEST_F(GatewaySettingsTest, NameASwitchThatIsNeitherOnNorOffAndOneThatIsNotKnown) {
+TEST_F(GatewaySettingsTest, ReportInvalidAndUnknownSwitches) {
     read("[switches]\nkeeps-room=maybe\nkeep-room=off\n");
     EXPECT_NE(m_findings.toText().find("neither on nor off"), std::string::npos);
     EXPECT_NE(m_findings.toText().find("keep-room"), std::string::npos);
--- a/libs/http/include/pierbank/http/HttpClient.h
+++ b/libs/http/include/pierbank/http/HttpClient.h
@@ -14,37 +14,44 @@
 
 namespace pierbank {
 
-/** One HTTP request. */
+/** HTTP request of a client. */
 struct HttpCall {
     std::string m_method = "GET";
     Address m_address;
-    /** Path and query, as they go on the wire. */
+    /** Path and query, already escaped. */
     std::string m_target = "/";
     std::vector<HttpHeader> m_headers;
     std::string m_body;
+    /** Time limit of the whole call. A long body extends the limit; see HttpClient. */
     Millis m_timeout{1000};
     /**
-     * Whether the request may reach the server twice. libsoup silently sends such a request again
-     * when a kept-alive connection drops. Others get a connection of their own, which is closed
-     * after the answer.
+     * Whether the server may receive the request twice without harm. libsoup resends an idempotent
+     * request without notice when a persistent connection drops. Other requests therefore use a new
+     * connection, which is closed after the response.
      */
     bool m_mayRepeat = true;
 };
 
-/** Outcome of an HttpCall; a status of zero means that no whole answer came. */
+/** Result of an HttpCall. The status is zero when no complete response was received. */
 struct HttpResult {
     std::uint32_t m_status = 0;
     std::vector<HttpHeader> m_headers;
     std::string m_body;
+    /** With a status of zero: description of the failure. */
     std::string m_reason;
-    /** With status zero: the connection was refused, so that the server surely saw nothing. */
+    /** With a status of zero: the server cannot have received the request. */
     bool m_isRefused = false;
 
-    /** The first header of this name, in any case; empty when there is none. */
+    /** Returns the first header with this name, ignoring case, or an empty text. */
     std::string getHeader(std::string_view name) const;
 };
 
-/** HTTP client by libsoup, on the main context. */
+/**
+ * HTTP client on libsoup. Runs on the main context of GLib.
+ *
+ * A response with a Content-Length may exceed the timeout of its call by the time that its body, up
+ * to 4 MiB of it, takes at 250 bytes per millisecond.
+ */
 class HttpClient {
 public:
     using Callback = std::function<void(const HttpResult&)>;
@@ -54,7 +61,7 @@
     HttpClient(const HttpClient&) = delete;
     HttpClient& operator=(const HttpClient&) = delete;
 
-    /** Sends a request; `done` is called once, on a later loop turn. */
+    /** Sends a request. `done` is called once, in a later iteration of the loop. */
     void send(const HttpCall& call, Callback done);
 
 private:
@@ -62,7 +69,7 @@
     std::unique_ptr<Detail> m_detail;
 };
 
-/** Escapes a text for use as one segment or value in a URI; slashes stay. */
+/** Percent-encodes a text for the path or query of a URI. Slashes are not encoded. */
 std::string escapeUri(std::string_view text);
 
 }  // namespace pierbank
--- a/libs/http/include/pierbank/http/HttpHeaders.h
+++ b/libs/http/include/pierbank/http/HttpHeaders.h
@@ -8,17 +8,17 @@
 
 namespace pierbank {
 
-/** An HTTP header. */
+/** Name and value of an HTTP header. */
 struct HttpHeader {
     std::string m_name;
     std::string m_value;
     bool operator==(const HttpHeader&) const = default;
 };
 
-/** Whether two header names are the same: their case does not count. */
+/** Returns whether two header names are equal, ignoring case. */
 bool isSameHeader(std::string_view a, std::string_view b);
 
-/** Value of the first header of this name; empty when there is none. */
+/** Returns the value of the first header with this name, or an empty text. */
 std::string_view findHeader(std::span<const HttpHeader> headers, std::string_view name);
 
 }  // namespace pierbank
--- a/libs/http/include/pierbank/http/HttpServer.h
+++ b/libs/http/include/pierbank/http/HttpServer.h
@@ -17,63 +17,68 @@
 
 namespace pierbank {
 
-/** A request that an HttpServer took. */
+/** Request that an HttpServer has received. */
 struct HttpServerRequest {
     std::string m_method;
-    /** Path and query, still escaped. */
+    /** Path and query, not unescaped. */
     std::string m_target;
     std::vector<HttpHeader> m_headers;
     std::string m_body;
 
-    /** First header of this name, in any case; empty when there is none. */
+    /** Returns the first header with this name, ignoring case, or an empty text. */
     std::string_view getHeader(std::string_view name) const;
 };
 
-/** The answer to it. */
+/** Response to an HttpServerRequest. */
 struct HttpServerAnswer {
     std::uint32_t m_status = 200;
     std::vector<HttpHeader> m_headers;
     std::string m_body;
 };
 
-/** One request that waits for its answer; the server may call back that the client has gone. */
+/**
+ * Pending request. The handler keeps the call until it responds. A call that is destroyed without a
+ * response is answered with status 500.
+ */
 class HttpServerCall {
 public:
     virtual ~HttpServerCall() = default;
 
-    /** Answers; once. Does nothing when the client has gone. */
+    /** Sends the response. Has no effect on later calls and after the client has disconnected. */
     virtual void answer(const HttpServerAnswer& answer) = 0;
-    /** Told when the client closes its connection before the answer. */
+    /** Sets the callback for a client that disconnects before the response. */
     virtual void onGone(std::function<void()> callback) = 0;
 };
 
-/** Bounds of the head of a request: its first line and its headers. */
+/** Limits on the head of a request, which consists of the request line and the headers. */
 struct HeadLimits {
-    /** More bytes are answered with 431. */
-    std::size_t m_bytes = 16'384;
-    /** A head that is not whole so long after its first byte is answered with 408. */
-    Millis m_time{5000};
+    /** Maximum size in bytes. A larger head is answered with status 431. */
+    std::size_t m_maxBytes = 16'384;
+    /** Maximum time from the first byte to the end of the head, beyond which status 408 is sent. */
+    Millis m_timeout{5000};
 };
 
 /**
- * HTTP server by libsoup on the main context, with one handler for all paths. A request whose end
- * is ambiguous is answered with 400 and its connection closed.
+ * HTTP server on libsoup, with one handler for all paths. Runs on the main context of GLib. A
+ * request whose headers define its length ambiguously is answered with status 400, and its
+ * connection is closed.
  */
 class HttpServer {
 public:
     using Handler =
             std::function<void(const HttpServerRequest&, const std::shared_ptr<HttpServerCall>&)>;
 
+    /** Creates a server with the default limits. @param handler is called for each request. */
     explicit HttpServer(Handler handler);
     HttpServer(Handler handler, const HeadLimits& limits);
     ~HttpServer();
     HttpServer(const HttpServer&) = delete;
     HttpServer& operator=(const HttpServer&) = delete;
 
-    /** @return false with `reason` when the address is not free. */
+    /** Starts to listen. @return false with `reason` when the address cannot be used. */
     bool listen(const Address& address, Reason& reason);
 
-    /** Closes the listening socket; requests in progress go on. */
+    /** Closes the listening socket. Requests in progress are not affected. */
     void stopListening();
 
 private:
--- a/libs/http/include/pierbank/http/HttpStatus.h
+++ b/libs/http/include/pierbank/http/HttpStatus.h
@@ -6,7 +6,7 @@
 
 namespace pierbank {
 
-// Status codes of RFC 9110 and RFC 6585 that the project uses.
+// Status codes from RFC 9110 and RFC 6585.
 
 inline constexpr std::uint32_t HTTP_OK = 200;
 inline constexpr std::uint32_t HTTP_BAD_REQUEST = 400;
--- a/libs/http/src/GuardedStream.cpp
+++ b/libs/http/src/GuardedStream.cpp
@@ -10,25 +10,29 @@
 
 namespace {
 
-/** After a refusal so much more is read, for so long, before the connection is closed. */
-constexpr std::size_t MAX_DISCARDED = 1U << 20U;
-constexpr guint DISCARD_TIME_MS = 1000;
+/** Maximum number of bytes that are read and discarded after a rejection. */
+constexpr std::size_t MAX_DISCARDED_BYTES = 1U << 20U;
+/** Time from a rejection until the connection is closed. */
+constexpr guint DISCARD_TIMEOUT_MS = 1000;
 
 constexpr std::string_view TOO_LARGE = "431 Request Header Fields Too Large";
 constexpr std::string_view TOO_SLOW = "408 Request Timeout";
 
 }  // namespace
 
-// GObject's own naming, which its macros need.
+// The macros of GObject require these two type names.
 struct GuardedStream {
     GFilterInputStream m_parent;
+    /** Owned reference. */
     GSocketConnection* m_connection;
     HeadLimits m_limits;
+    /** Bytes of the current head that have been read. */
     std::size_t m_headBytes;
-    std::size_t m_discarded;
+    std::size_t m_discardedBytes;
+    /** Timer of the current head, or of the closing after a rejection. */
     guint m_timer;
     bool m_isInHead;
-    bool m_isRefused;
+    bool m_isRejected;
 };
 
 struct GuardedStreamClass {
@@ -52,16 +56,16 @@
     }
 }
 
-gboolean closeAfterRefusal(gpointer data) {
+gboolean closeAfterRejection(gpointer data) {
     GuardedStream* const self = toGuarded(data);
     self->m_timer = 0;
     g_io_stream_close(G_IO_STREAM(self->m_connection), nullptr, nullptr);
     return G_SOURCE_REMOVE;
 }
 
-void refuse(GuardedStream* self, std::string_view status) {
+void rejectHead(GuardedStream* self, std::string_view status) {
     stopTimer(self);
-    self->m_isRefused = true;
+    self->m_isRejected = true;
     const std::string answer =
             std::string("HTTP/1.1 ")
                     .append(status)
@@ -73,38 +77,43 @@
              {{"status", std::string(status)},
               {"bytes", std::to_string(self->m_headBytes)},
               {"told", sent > 0 ? "yes" : "no"}});
-    self->m_timer = g_timeout_add(DISCARD_TIME_MS, &closeAfterRefusal, self);
+    self->m_timer = g_timeout_add(DISCARD_TIMEOUT_MS, &closeAfterRejection, self);
 }
 
-gboolean refuseSlowHead(gpointer data) {
+gboolean rejectSlowHead(gpointer data) {
     GuardedStream* const self = toGuarded(data);
     self->m_timer = 0;
-    refuse(self, TOO_SLOW);
+    rejectHead(self, TOO_SLOW);
     return G_SOURCE_REMOVE;
 }
 
-/** Takes what was read into account. @return what the reader gets to see of it. */
-gssize note(GuardedStream* self, gssize count, GError** error) {
+/**
+ * Applies the limits to the result of a read from the connection.
+ * @param count number of bytes read; zero at the end of the input, negative on an error.
+ * @return the result for the reader: no data after a rejection, and the end of the input after
+ * MAX_DISCARDED_BYTES.
+ */
+gssize processRead(GuardedStream* self, gssize count, GError** error) {
     if (count <= 0) {
         return count;
     }
     const auto bytes = static_cast<std::size_t>(count);
-    if (!self->m_isRefused && self->m_isInHead) {
+    if (!self->m_isRejected && self->m_isInHead) {
         if (self->m_headBytes == 0) {
             stopTimer(self);
-            self->m_timer = g_timeout_add(static_cast<guint>(self->m_limits.m_time.count()),
-                                          &refuseSlowHead, self);
+            self->m_timer = g_timeout_add(static_cast<guint>(self->m_limits.m_timeout.count()),
+                                          &rejectSlowHead, self);
         }
         self->m_headBytes += bytes;
-        if (self->m_headBytes > self->m_limits.m_bytes) {
-            refuse(self, TOO_LARGE);
+        if (self->m_headBytes > self->m_limits.m_maxBytes) {
+            rejectHead(self, TOO_LARGE);
         }
     }
-    if (!self->m_isRefused) {
+    if (!self->m_isRejected) {
         return count;
     }
-    self->m_discarded += bytes;
-    if (self->m_discarded > MAX_DISCARDED) {
+    self->m_discardedBytes += bytes;
+    if (self->m_discardedBytes > MAX_DISCARDED_BYTES) {
         return 0;
     }
     g_set_error_literal(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK, "the head was refused");
@@ -114,14 +123,16 @@
 gssize readStream(GInputStream* stream, void* buffer, gsize count, GCancellable* cancellable,
                   GError** error) {
     GuardedStream* const self = toGuarded(stream);
-    return note(self, g_input_stream_read(getBase(self), buffer, count, cancellable, error), error);
+    return processRead(self, g_input_stream_read(getBase(self), buffer, count, cancellable, error),
+                       error);
 }
 
 gssize readNonblocking(GPollableInputStream* stream, void* buffer, gsize count, GError** error) {
     GuardedStream* const self = toGuarded(stream);
     GPollableInputStream* const base = G_POLLABLE_INPUT_STREAM(getBase(self));
-    return note(self, g_pollable_input_stream_read_nonblocking(base, buffer, count, nullptr, error),
-                error);
+    return processRead(
+            self, g_pollable_input_stream_read_nonblocking(base, buffer, count, nullptr, error),
+            error);
 }
 
 gboolean isReadable(GPollableInputStream* stream) {
@@ -150,7 +161,8 @@
 
 }  // namespace
 
-// NOLINTBEGIN(readability-identifier-naming): the macro makes functions with GObject's names.
+// NOLINTBEGIN(readability-identifier-naming): the macro declares functions with the names of
+// GObject.
 G_DEFINE_TYPE_WITH_CODE(GuardedStream, guarded_stream, G_TYPE_FILTER_INPUT_STREAM,
                         G_IMPLEMENT_INTERFACE(G_TYPE_POLLABLE_INPUT_STREAM, initPollable))
 
@@ -190,7 +202,7 @@
 void endHead(GInputStream* stream) {
     GuardedStream* const self = toGuarded(stream);
     self->m_isInHead = false;
-    if (!self->m_isRefused) {
+    if (!self->m_isRejected) {
         stopTimer(self);
     }
 }
--- a/libs/http/src/GuardedStream.h
+++ b/libs/http/src/GuardedStream.h
@@ -9,17 +9,19 @@
 namespace pierbank {
 
 /**
- * The input of one connection, under HeadLimits. libsoup resets a connection whose head is too long
- * and waits for a slow one for ever; this stream answers in its place and then reads on for a
- * while, since closing with unread bytes would take the answer back.
+ * Creates an input stream for a connection that enforces HeadLimits. libsoup resets a connection
+ * whose head is too large, and waits indefinitely for an incomplete head. This stream sends the
+ * error response itself. The stream then discards further input for up to a second before it closes
+ * the connection, because closing a socket with unread input would discard the response too.
  *
- * Its owner tells it where heads begin and end. A GObject: release it with g_object_unref().
+ * The owner marks the heads with beginHead() and endHead(). The stream is a GObject, to be released
+ * with g_object_unref().
  */
 GInputStream* makeGuardedStream(GSocketConnection* connection, const HeadLimits& limits);
 
-/** The next byte begins a head. */
+/** Marks the beginning of a head: the limits apply from the next byte on. */
 void beginHead(GInputStream* stream);
-/** The head is whole; the body is not limited here. */
+/** Marks the end of a head. The body that follows is not limited. */
 void endHead(GInputStream* stream);
 
 }  // namespace pierbank
--- a/libs/http/src/HttpClient.cpp
+++ b/libs/http/src/HttpClient.cpp
@@ -12,28 +12,29 @@
 
 namespace {
 
-/** libsoup's own limits are 10 connections in all and 2 a host. */
+/** Replaces the defaults of libsoup: 10 connections in total, and 2 for each host. */
 constexpr int MAX_CONNECTIONS = 512;
 /**
- * A body may take its announced length at this rate beyond the call's time. A configuration of
- * thousands of routes took longer over a narrow link than small answers may, each time, and its
- * gateway never learnt a new version.
+ * Minimum rate at which a body must arrive. The body of a response extends the timeout of the call
+ * by its Content-Length divided by this rate. Without the extension, a configuration of thousands
+ * of routes exceeded the timeout at each attempt over a narrow link, and the gateway never received
+ * a new version.
  */
-constexpr goffset LEAST_BYTES_PER_MILLI = 250;
+constexpr goffset MIN_BYTES_PER_MILLI = 250;
 
-/** What one call carries from send() until libsoup has let go of it. */
-struct Pending {
-    /** Empty once the caller has its outcome. */
+/** State of a call from send() until libsoup finishes the call. */
+struct PendingCall {
+    /** Callback for the result; empty after the callback was called. */
     HttpClient::Callback m_done;
     SoupMessage* m_message = nullptr;
     GCancellable* m_cancellable = g_cancellable_new();
     Millis m_timeout{0};
     guint m_timer = 0;
 
-    Pending() = default;
-    Pending(const Pending&) = delete;
-    Pending& operator=(const Pending&) = delete;
-    ~Pending() {
+    PendingCall() = default;
+    PendingCall(const PendingCall&) = delete;
+    PendingCall& operator=(const PendingCall&) = delete;
+    ~PendingCall() {
         if (m_timer != 0) {
             g_source_remove(m_timer);
         }
@@ -46,37 +47,37 @@
 };
 
 /**
- * The caller hears at once. libsoup ends a cancelled call whose connection has fallen silent only
- * after 0.6 to 0.9 s more, as seen on a host that was cut off from the store.
+ * Reports the timeout to the caller immediately. If the network drops all packets, libsoup finishes
+ * a cancelled call only after another 0.6 to 0.9 s.
  */
 gboolean onTimeout(gpointer data) {
-    auto* pending = static_cast<Pending*>(data);
+    auto* pending = static_cast<PendingCall*>(data);
     pending->m_timer = 0;
     HttpResult outcome;
     outcome.m_reason = "no answer in time";
     const HttpClient::Callback done = std::exchange(pending->m_done, nullptr);
-    // May free what is pending.
+    // May delete `pending`.
     g_cancellable_cancel(pending->m_cancellable);
     done(outcome);
     return G_SOURCE_REMOVE;
 }
 
-/** The answer has begun: a large one gets the time that its length takes. */
-void onHeaders(SoupMessage* message, gpointer data) {
-    auto* pending = static_cast<Pending*>(data);
+/** Extends the timeout by the time that the body takes at MIN_BYTES_PER_MILLI. */
+void extendTimeout(SoupMessage* message, gpointer data) {
+    auto* pending = static_cast<PendingCall*>(data);
     SoupMessageHeaders* headers = soup_message_get_response_headers(message);
-    const bool isAnnounced =
+    const bool hasContentLength =
             soup_message_headers_get_encoding(headers) == SOUP_ENCODING_CONTENT_LENGTH;
-    if (pending->m_timer == 0 || !isAnnounced) {
+    if (pending->m_timer == 0 || !hasContentLength) {
         return;
     }
-    constexpr goffset MOST_BYTES = 4 * 1024 * 1024;
-    const goffset bytes =
-            std::clamp<goffset>(soup_message_headers_get_content_length(headers), 0, MOST_BYTES);
-    const Millis more(bytes / LEAST_BYTES_PER_MILLI);
-    if (more > Millis(0)) {
+    constexpr goffset MAX_COUNTED_BYTES = 4 * 1024 * 1024;
+    const goffset bytes = std::clamp<goffset>(soup_message_headers_get_content_length(headers), 0,
+                                              MAX_COUNTED_BYTES);
+    const Millis extension(bytes / MIN_BYTES_PER_MILLI);
+    if (extension > Millis(0)) {
         g_source_remove(pending->m_timer);
-        const auto time = static_cast<guint>((pending->m_timeout + more).count());
+        const auto time = static_cast<guint>((pending->m_timeout + extension).count());
         pending->m_timer = g_timeout_add(time, &onTimeout, pending);
     }
 }
@@ -91,20 +92,23 @@
     }
 }
 
-/** libsoup takes the end of the connection for the end of the body, whatever was announced. */
-bool isCutShort(SoupMessageHeaders* headers, gsize size, SoupMessage* message) {
+/**
+ * Returns whether a body is shorter than its Content-Length. libsoup treats the end of the
+ * connection as the end of the body.
+ */
+bool isTruncated(SoupMessageHeaders* headers, gsize size, SoupMessage* message) {
     const bool hasBody = g_strcmp0(soup_message_get_method(message), "HEAD") != 0;
     return hasBody && soup_message_headers_get_encoding(headers) == SOUP_ENCODING_CONTENT_LENGTH &&
            soup_message_headers_get_content_length(headers) != static_cast<goffset>(size);
 }
 
 void finishSend(GObject* session, GAsyncResult* result, gpointer data) {
-    const std::unique_ptr<Pending> pending(static_cast<Pending*>(data));
+    const std::unique_ptr<PendingCall> pending(static_cast<PendingCall*>(data));
     HttpResult outcome;
     GError* error = nullptr;
     GBytes* body = soup_session_send_and_read_finish(SOUP_SESSION(session), result, &error);
     if (pending->m_done == nullptr) {
-        // Its time was over before.
+        // onTimeout() has already reported the result.
         g_clear_error(&error);
         g_clear_pointer(&body, &g_bytes_unref);
         return;
@@ -122,7 +126,7 @@
         outcome.m_status = soup_message_get_status(pending->m_message);
         readHeaders(pending->m_message, outcome.m_headers);
         g_bytes_unref(body);
-        if (isCutShort(headers, size, pending->m_message)) {
+        if (isTruncated(headers, size, pending->m_message)) {
             outcome = HttpResult();
             outcome.m_reason = "the answer was cut short";
         }
@@ -142,7 +146,7 @@
 };
 
 HttpClient::HttpClient() : m_detail(std::make_unique<Detail>()) {
-    // Without this GIO loads a proxy module, which reads the desktop's settings.
+    // Prevents GIO from loading a proxy module, which reads the settings of the desktop.
     soup_session_set_proxy_resolver(m_detail->m_session, nullptr);
 }
 
@@ -152,7 +156,7 @@
 }
 
 void HttpClient::send(const HttpCall& call, Callback done) {
-    auto pending = std::make_unique<Pending>();
+    auto pending = std::make_unique<PendingCall>();
     pending->m_done = std::move(done);
     const std::string uri = "http://" + call.m_address.toText() + call.m_target;
     pending->m_message = soup_message_new(call.m_method.c_str(), uri.c_str());
@@ -160,7 +164,7 @@
         auto* idle = pending.release();
         g_idle_add_once(
                 [](gpointer data) {
-                    const std::unique_ptr<Pending> failed(static_cast<Pending*>(data));
+                    const std::unique_ptr<PendingCall> failed(static_cast<PendingCall*>(data));
                     HttpResult outcome;
                     outcome.m_reason = "not a valid method or path";
                     outcome.m_isRefused = true;
@@ -172,7 +176,7 @@
     SoupMessage* message = pending->m_message;
     soup_message_add_flags(message, SOUP_MESSAGE_NO_REDIRECT);
     if (call.m_mayRepeat) {
-        // Without this flag libsoup opens a new connection for each POST and keeps the old ones.
+        // Without this flag, libsoup opens a new connection for each POST and keeps the old ones.
         soup_message_add_flags(message, SOUP_MESSAGE_IDEMPOTENT);
     } else {
         soup_message_add_flags(message, SOUP_MESSAGE_NEW_CONNECTION);
@@ -191,7 +195,7 @@
     pending->m_timeout = std::max(call.m_timeout, Millis(1));
     pending->m_timer = g_timeout_add(static_cast<guint>(pending->m_timeout.count()), &onTimeout,
                                      pending.get());
-    g_signal_connect(message, "got-headers", G_CALLBACK(&onHeaders), pending.get());
+    g_signal_connect(message, "got-headers", G_CALLBACK(&extendTimeout), pending.get());
     GCancellable* cancellable = pending->m_cancellable;
     soup_session_send_and_read_async(m_detail->m_session, message, G_PRIORITY_DEFAULT, cancellable,
                                      &finishSend, pending.release());
--- a/libs/http/src/HttpServer.cpp
+++ b/libs/http/src/HttpServer.cpp
@@ -16,20 +16,20 @@
 
 namespace {
 
-/** HttpServerCall on a paused libsoup message. */
+/** HttpServerCall for a message of libsoup, which stays paused until the response. */
 class SoupCall final : public HttpServerCall, public std::enable_shared_from_this<SoupCall> {
 public:
-    /** @param server expires with the server, whose end also ends its messages. */
+    /** @param server expires with the server, which also finishes its messages. */
     SoupCall(SoupServerMessage* message, std::weak_ptr<bool> server)
             : m_message(message), m_server(std::move(server)) {
         g_object_ref(m_message);
     }
     ~SoupCall() override {
-        if (m_finished != 0) {
-            g_signal_handler_disconnect(m_message, m_finished);
+        if (m_finishedHandler != 0) {
+            g_signal_handler_disconnect(m_message, m_finishedHandler);
         }
-        if (!m_isAnswered && !m_isGone && !m_server.expired()) {
-            // Nobody will answer any more: an error is better than a hanging connection.
+        if (!m_isAnswered && !m_isDisconnected && !m_server.expired()) {
+            // The handler has dropped the call. Without a response, the connection would hang.
             soup_server_message_set_status(m_message, SOUP_STATUS_INTERNAL_SERVER_ERROR, nullptr);
             soup_server_message_unpause(m_message);
         }
@@ -40,12 +40,12 @@
 
     void pause() {
         soup_server_message_pause(m_message);
-        m_finished =
+        m_finishedHandler =
                 g_signal_connect(m_message, "finished", G_CALLBACK(&SoupCall::onFinished), this);
     }
 
     void answer(const HttpServerAnswer& answer) override {
-        if (m_isAnswered || m_isGone || m_server.expired()) {
+        if (m_isAnswered || m_isDisconnected || m_server.expired()) {
             return;
         }
         m_isAnswered = true;
@@ -61,7 +61,7 @@
         soup_server_message_unpause(m_message);
     }
 
-    void onGone(std::function<void()> callback) override { m_onGone = std::move(callback); }
+    void onGone(std::function<void()> callback) override { m_onDisconnect = std::move(callback); }
 
 private:
     static void onFinished(SoupServerMessage*, gpointer data) {
@@ -69,18 +69,18 @@
         if (self->m_isAnswered) {
             return;
         }
-        self->m_isGone = true;
-        if (self->m_onGone) {
-            std::exchange(self->m_onGone, nullptr)();
+        self->m_isDisconnected = true;
+        if (self->m_onDisconnect) {
+            std::exchange(self->m_onDisconnect, nullptr)();
         }
     }
 
     SoupServerMessage* m_message;
     std::weak_ptr<bool> m_server;
-    gulong m_finished = 0;
-    std::function<void()> m_onGone;
+    gulong m_finishedHandler = 0;
+    std::function<void()> m_onDisconnect;
     bool m_isAnswered = false;
-    bool m_isGone = false;
+    bool m_isDisconnected = false;
 };
 
 HttpServerRequest readRequest(SoupServerMessage* message) {
@@ -105,20 +105,22 @@
     return request;
 }
 
-/** What a header holds, however often it was given; empty when it is missing. */
-std::string getAll(SoupServerMessage* message, const char* name) {
+/** Returns all values of a header as a comma-separated list, or an empty text. */
+std::string getCombinedHeader(SoupServerMessage* message, const char* name) {
     const char* value =
             soup_message_headers_get_list(soup_server_message_get_request_headers(message), name);
     return value == nullptr ? std::string() : value;
 }
 
 /**
- * The status with which a request is refused unread; zero for none. Where a request ends must not
- * be a matter of opinion: another party on the way may think otherwise.
+ * Returns the status with which a request is rejected because of its headers, or zero. The length
+ * of a request must be unambiguous, because a proxy that determines another length would allow
+ * request smuggling.
  */
-std::uint32_t refuseHead(SoupServerMessage* message) {
-    const std::string length = getAll(message, "Content-Length");
-    const bool isAmbiguous = !length.empty() && !getAll(message, "Transfer-Encoding").empty();
+std::uint32_t getRejectionStatus(SoupServerMessage* message) {
+    const std::string length = getCombinedHeader(message, "Content-Length");
+    const bool isAmbiguous =
+            !length.empty() && !getCombinedHeader(message, "Transfer-Encoding").empty();
     if (isAmbiguous || length.find(',') != std::string::npos) {
         return HTTP_BAD_REQUEST;
     }
@@ -136,7 +138,7 @@
     GSocketService* m_service = nullptr;
     Handler m_handler;
     const HeadLimits m_limits;
-    /** The guarded input of each open connection, by the address object that libsoup was given. */
+    /** Input of each open connection, by the remote address object that was passed to libsoup. */
     std::map<GSocketAddress*, GInputStream*> m_inputs;
 
     explicit Detail(const HeadLimits& limits) : m_limits(limits) {}
@@ -164,9 +166,9 @@
         auto* const self = static_cast<Detail*>(data);
         const auto call = std::make_shared<SoupCall>(message, self->m_isAlive);
         call->pause();
-        const std::uint32_t refusal = refuseHead(message);
-        if (refusal != 0) {
-            call->answer({refusal, {{"Connection", "close"}}, ""});
+        const std::uint32_t rejection = getRejectionStatus(message);
+        if (rejection != 0) {
+            call->answer({rejection, {{"Connection", "close"}}, ""});
             return;
         }
         self->m_handler(readRequest(message), call);
@@ -180,7 +182,7 @@
 
     void accept(GSocketConnection* connection) {
         GSocket* const socket = g_socket_connection_get_socket(connection);
-        // Answers are small and go out at once.
+        // Nagle's algorithm would delay the responses, which are small.
         g_socket_set_option(socket, IPPROTO_TCP, TCP_NODELAY, 1, nullptr);
         GSocketAddress* const local = g_socket_connection_get_local_address(connection, nullptr);
         GSocketAddress* const remote = g_socket_connection_get_remote_address(connection, nullptr);
@@ -189,8 +191,8 @@
             GIOStream* const stream = g_simple_io_stream_new(
                     input, g_io_stream_get_output_stream(G_IO_STREAM(connection)));
             m_inputs[remote] = input;
-            g_object_weak_ref(G_OBJECT(input), &Detail::onInputGone,
-                              new Gone{this, remote, m_isAlive});
+            g_object_weak_ref(G_OBJECT(input), &Detail::onInputFinalized,
+                              new InputReference{this, remote, m_isAlive});
             soup_server_accept_iostream(m_server, stream, local, remote, nullptr);
             g_object_unref(stream);
             g_object_unref(input);
@@ -203,14 +205,15 @@
         }
     }
 
-    static void onInputGone(gpointer data, GObject*) {
-        const std::unique_ptr<Gone> gone(static_cast<Gone*>(data));
-        if (!gone->m_isAlive.expired()) {
-            gone->m_detail->m_inputs.erase(gone->m_remote);
+    static void onInputFinalized(gpointer data, GObject*) {
+        const std::unique_ptr<InputReference> reference(static_cast<InputReference*>(data));
+        if (!reference->m_isAlive.expired()) {
+            reference->m_detail->m_inputs.erase(reference->m_remote);
         }
     }
 
-    struct Gone {
+    /** Data of the weak reference to an input. */
+    struct InputReference {
         Detail* m_detail;
         GSocketAddress* m_remote;
         std::weak_ptr<bool> m_isAlive;
--- a/libs/http/test/HttpClientTest.cpp
+++ b/libs/http/test/HttpClientTest.cpp
@@ -11,7 +11,9 @@
 namespace pierbank::testing {
 namespace {
 
-/** A server that takes no connection: its queue of new ones is full, so that packets are dropped.
+/**
+ * Server that accepts no connection. Its queue of pending connections is full, so that the kernel
+ * drops the packets of further connections.
  */
 class UnreachableServer {
 public:
@@ -25,16 +27,16 @@
         getsockname(m_listener, name, &size);
         listen(m_listener, 0);
         m_address = {"127.0.0.1", ntohs(address.sin_port)};
-        for (int& waiting : m_waiting) {
-            waiting = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
-            connect(waiting, name, size);
+        for (int& queued : m_queued) {
+            queued = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
+            connect(queued, name, size);
         }
     }
     UnreachableServer(const UnreachableServer&) = delete;
     UnreachableServer& operator=(const UnreachableServer&) = delete;
     ~UnreachableServer() {
-        for (const int waiting : m_waiting) {
-            close(waiting);
+        for (const int queued : m_queued) {
+            close(queued);
         }
         close(m_listener);
     }
@@ -43,14 +45,17 @@
 
 private:
     int m_listener = socket(AF_INET, SOCK_STREAM, 0);
-    std::array<int, 4> m_waiting{};
+    std::array<int, 4> m_queued{};
     Address m_address;
 };
 
-/** A server that sends the head of an answer and half of its body at once, and the rest later. */
-class HaltingServer {
+/**
+ * Server for one connection. Sends the head and the first half of the body of a response
+ * immediately, and the second half after a pause or never.
+ */
+class PausingServer {
 public:
-    HaltingServer(EventLoop& loop, std::size_t size) : m_loop(loop), m_size(size) {
+    PausingServer(EventLoop& loop, std::size_t size) : m_loop(loop), m_size(size) {
         sockaddr_in address{};
         address.sin_family = AF_INET;
         address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
@@ -60,31 +65,31 @@
         getsockname(m_listener, name, &length);
         listen(m_listener, 1);
         m_address = {"127.0.0.1", ntohs(address.sin_port)};
-        look();
+        pollConnection();
     }
-    HaltingServer(const HaltingServer&) = delete;
-    HaltingServer& operator=(const HaltingServer&) = delete;
-    ~HaltingServer() {
+    PausingServer(const PausingServer&) = delete;
+    PausingServer& operator=(const PausingServer&) = delete;
+    ~PausingServer() {
         m_loop.cancel(m_timer);
         close(m_connection);
         close(m_listener);
     }
 
     const Address& getAddress() const { return m_address; }
-    Millis m_halt{150};
-    bool m_isEnding = true;
+    Millis m_pause{150};
+    bool m_sendsSecondHalf = true;
 
 private:
-    void look() {
+    void pollConnection() {
         m_connection = accept4(m_listener, nullptr, nullptr, SOCK_NONBLOCK);
         if (m_connection < 0) {
-            m_timer = m_loop.callLater(Millis(5), [this] { look(); });
+            m_timer = m_loop.callLater(Millis(5), [this] { pollConnection(); });
             return;
         }
         write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(m_size) + "\r\n\r\n" +
               std::string(m_size / 2, 'a'));
-        m_timer = m_loop.callLater(m_halt, [this] {
-            if (m_isEnding) {
+        m_timer = m_loop.callLater(m_pause, [this] {
+            if (m_sendsSecondHalf) {
                 write(std::string(m_size - m_size / 2, 'b'));
             }
         });
@@ -108,7 +113,7 @@
     HttpClient m_client;
 };
 
-TEST_F(HttpClientTest, EndsACallInTimeThoughTheConnectionIsStillBeingMade) {
+TEST_F(HttpClientTest, TimesOutWhileConnecting) {
     const UnreachableServer server;
     HttpCall call;
     call.m_address = server.getAddress();
@@ -118,7 +123,7 @@
         answer = result;
         m_loop.quit();
     });
-    // The first packet of a connection is sent again after a second.
+    // TCP resends the first packet of a connection after one second.
     bool isLate = false;
     const TimerId limit = m_loop.callLater(Millis(900), [&] { isLate = true; });
     run();
@@ -130,12 +135,12 @@
 }
 
 /**
- * Gateways behind links of 10 Mbit/s did not learn configurations of more than 1.2 MB: each reading
- * ended after its second, with most of the answer there.
+ * A gateway behind a link of 10 Mbit/s could not receive a configuration of more than 1.2 MB: each
+ * read timed out after one second, when most of the response had arrived.
  */
-TEST_F(HttpClientTest, GivesALargeAnswerThatHasBegunTheTimeThatItsLengthTakes) {
+TEST_F(HttpClientTest, ExtendsTheTimeoutByTheLengthOfTheBody) {
     constexpr std::size_t SIZE = 200'000;
-    const HaltingServer server(m_loop, SIZE);
+    const PausingServer server(m_loop, SIZE);
     HttpCall call;
     call.m_address = server.getAddress();
     call.m_timeout = Millis(100);
@@ -150,9 +155,9 @@
     EXPECT_EQ(answer->m_body.size(), SIZE);
 }
 
-TEST_F(HttpClientTest, EndsALargeAnswerThatStopsOnItsWay) {
-    HaltingServer server(m_loop, 50'000);
-    server.m_isEnding = false;
+TEST_F(HttpClientTest, TimesOutWhenTheBodyStalls) {
+    PausingServer server(m_loop, 50'000);
+    server.m_sendsSecondHalf = false;
     HttpCall call;
     call.m_address = server.getAddress();
     call.m_timeout = Millis(50);
--- a/libs/http/test/HttpServerTest.cpp
+++ b/libs/http/test/HttpServerTest.cpp
@@ -12,6 +12,7 @@
 namespace pierbank::testing {
 namespace {
 
+/** Malformed or malicious request. */
 struct HostileRequest {
     const char* m_name;
     std::string m_bytes;
@@ -19,7 +20,7 @@
 
 class HttpServerTest : public GlibFixture, public ::testing::WithParamInterface<HostileRequest> {
 protected:
-    /** Sends raw bytes, then closes; what comes back does not matter. */
+    /** Sends raw bytes and closes the connection without reading a response. */
     void sendRaw(const Address& address, const std::string& bytes) {
         GSocketClient* client = g_socket_client_new();
         GSocketConnection* connection = g_socket_client_connect_to_host(
@@ -32,7 +33,8 @@
         g_object_unref(client);
     }
 
-    HttpResult ask(const Address& address) {
+    /** Sends a valid request and returns the result. */
+    HttpResult sendValidRequest(const Address& address) {
         HttpCall call;
         call.m_address = address;
         call.m_target = "/good";
@@ -52,10 +54,10 @@
             }};
 };
 
-TEST_P(HttpServerTest, GoesOnAnsweringAfterHostileBytes) {
+TEST_P(HttpServerTest, ServesValidRequestsAfterHostileBytes) {
     const Address address = listen(m_server);
     sendRaw(address, GetParam().m_bytes);
-    const HttpResult answer = ask(address);
+    const HttpResult answer = sendValidRequest(address);
     EXPECT_EQ(answer.m_status, 200U);
     EXPECT_EQ(answer.m_body, "/good");
 }
@@ -83,8 +85,8 @@
 
 class HttpServerRefusalTest : public HttpServerTest {
 protected:
-    /** Sends raw bytes and returns what comes back until the server closes. */
-    std::string askRaw(const Address& address, const std::string& bytes) {
+    /** Sends raw bytes and returns the data received until the server closes the connection. */
+    std::string exchangeRaw(const Address& address, const std::string& bytes) {
         GSocketClient* client = g_socket_client_new();
         GSocketConnection* connection = g_socket_client_connect_to_host(
                 client, address.m_host.c_str(), address.m_port, nullptr, nullptr);
@@ -114,12 +116,12 @@
     }
 };
 
-TEST_P(HttpServerRefusalTest, RefusesARequestWhoseEndIsAmbiguousOrWhoseHeadIsTooLarge) {
+TEST_P(HttpServerRefusalTest, RejectsAnAmbiguousLengthOrALargeHead) {
     const Address address = listen(m_server);
-    const std::string answer = askRaw(address, GetParam().m_bytes);
+    const std::string answer = exchangeRaw(address, GetParam().m_bytes);
     const std::string status = GetParam().m_name == std::string("LargeHead") ? "431" : "400";
     EXPECT_TRUE(answer.starts_with("HTTP/1.1 " + status)) << answer.substr(0, 40);
-    EXPECT_EQ(ask(address).m_status, 200U);
+    EXPECT_EQ(sendValidRequest(address).m_status, 200U);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -137,31 +139,32 @@
 
 class HttpServerLimitTest : public HttpServerRefusalTest {
 protected:
-    HttpServer m_strict{[](const HttpServerRequest&, const std::shared_ptr<HttpServerCall>& call) {
-                            call->answer(HttpServerAnswer());
-                        },
-                        HeadLimits{16'384, Millis(50)}};
+    HttpServer m_strictServer{
+            [](const HttpServerRequest&, const std::shared_ptr<HttpServerCall>& call) {
+                call->answer(HttpServerAnswer());
+            },
+            HeadLimits{16'384, Millis(50)}};
 };
 
-/** Before, libsoup reset a connection with a head beyond a limit of its own. */
-TEST_F(HttpServerLimitTest, AHeadOfAnySizeIsAnsweredWith431) {
+/** libsoup itself resets the connection of a head that exceeds the limit of libsoup. */
+TEST_F(HttpServerLimitTest, ALargeHeadOfAnySizeIsAnsweredWith431) {
     const Address address = listen(m_server);
     for (const std::size_t size : {20'000U, 100'000U, 400'000U}) {
         const std::string answer =
-                askRaw(address, "GET /a HTTP/1.1\r\nHost: x\r\nX: " + std::string(size, 'x'));
+                exchangeRaw(address, "GET /a HTTP/1.1\r\nHost: x\r\nX: " + std::string(size, 'x'));
         EXPECT_TRUE(answer.starts_with("HTTP/1.1 431")) << size << " " << answer.substr(0, 40);
     }
-    EXPECT_EQ(ask(address).m_status, 200U);
+    EXPECT_EQ(sendValidRequest(address).m_status, 200U);
 }
 
-TEST_F(HttpServerLimitTest, AHeadThatIsNeverWholeIsAnsweredWith408) {
-    const Address address = listen(m_strict);
-    const std::string answer = askRaw(address, "GET /a HTTP/1.1\r\nHost:");
+TEST_F(HttpServerLimitTest, AnIncompleteHeadIsAnsweredWith408) {
+    const Address address = listen(m_strictServer);
+    const std::string answer = exchangeRaw(address, "GET /a HTTP/1.1\r\nHost:");
     EXPECT_TRUE(answer.starts_with("HTTP/1.1 408")) << answer.substr(0, 40);
 }
 
-TEST_F(HttpServerLimitTest, ABodyIsNotLimitedAsAHead) {
-    const Address address = listen(m_strict);
+TEST_F(HttpServerLimitTest, HeadLimitsDoNotApplyToTheBody) {
+    const Address address = listen(m_strictServer);
     HttpCall call;
     call.m_method = "POST";
     call.m_address = address;
@@ -175,7 +178,7 @@
     EXPECT_EQ(answer.m_status, 200U) << answer.m_reason;
 }
 
-TEST_F(HttpServerLimitTest, FiveHundredHalfSentRequestsAreBorne) {
+TEST_F(HttpServerLimitTest, ServesRequestsBeside500IncompleteRequests) {
     const Address address = listen(m_server);
     constexpr int CONNECTIONS = 500;
     std::vector<GSocketConnection*> open;
@@ -189,13 +192,13 @@
         while (g_main_context_iteration(nullptr, FALSE) != FALSE) {
         }
     }
-    EXPECT_EQ(ask(address).m_status, 200U);
+    EXPECT_EQ(sendValidRequest(address).m_status, 200U);
     for (GSocketConnection* const connection : open) {
         g_io_stream_close(G_IO_STREAM(connection), nullptr, nullptr);
         g_object_unref(connection);
     }
     g_object_unref(client);
-    EXPECT_EQ(ask(address).m_status, 200U);
+    EXPECT_EQ(sendValidRequest(address).m_status, 200U);
 }
 
 }  // namespace
--- a/libs/operators/include/pierbank/operators/AuditTrail.h
+++ b/libs/operators/include/pierbank/operators/AuditTrail.h
@@ -13,36 +13,39 @@
 
 namespace pierbank {
 
-/** One change by an operator's statement. */
+/** Record of one change that an operator made by a statement. */
 struct AuditEntry {
-    /** Wall time. */
+    /** Wall time in milliseconds since 1970. */
     Millis m_at{0};
     std::string m_operator;
     std::string m_statement;
     std::string m_outcome;
-    /** Random; tells an entry from any other. Set by commit(). */
+    /** Random value that makes the entry unique. Set by commit(). */
     std::string m_token;
 };
 
 /**
- * Who changed what, when: kept in the store in the very transaction that makes the change, so that
- * no change lacks its entry. The newest MAX_ENTRIES are kept.
+ * Log of who changed what and when. An entry is written to the store in the same transaction as the
+ * change itself, so that no change lacks its entry. The newest MAX_ENTRIES entries are retained.
  */
 class AuditTrail {
 public:
     static constexpr std::size_t MAX_ENTRIES = 200;
-    /** A change whose outcome the store does not tell for so long stays unknown. */
-    static constexpr Millis PATIENCE{3000};
+    /** Time after which a change without a known outcome is reported as unknown. */
+    static constexpr Millis COMMIT_TIMEOUT{3000};
 
     /** The references must outlive the trail. */
     AuditTrail(RecordStore& store, EventLoop& loop) : m_store(store), m_loop(loop) {}
     AuditTrail(const AuditTrail&) = delete;
     AuditTrail& operator=(const AuditTrail&) = delete;
 
-    /** Commits a change together with its entry. */
+    /**
+     * Commits a change together with its entry. The change is refused if the existing entries can't
+     * be read; `done` is not called after the trail's destruction.
+     */
     void commit(StoreTransaction change, AuditEntry entry,
                 std::function<void(const StoreCommit&)> done);
-    /** `done` gets the entries, the newest first; an empty pointer when they can't be read. */
+    /** Passes the entries to `done`, the newest first; a null pointer if they can't be read. */
     void read(std::function<void(const std::vector<AuditEntry>*)> done);
 
 private:
--- a/libs/operators/include/pierbank/operators/DomainTable.h
+++ b/libs/operators/include/pierbank/operators/DomainTable.h
@@ -11,24 +11,26 @@
 
 namespace pierbank {
 
-/** What the leader knows of one failure domain. */
-struct DomainFigures {
+/** The leader's state of one failure domain. */
+struct DomainSummary {
     std::size_t m_workers = 0;
     std::size_t m_linkedWorkers = 0;
     std::uint32_t m_accelerators = 0;
     std::size_t m_runs = 0;
-    /** Nothing begins there, by a request of the platform's operators, or by a statement. */
-    bool m_isAsked = false;
-    bool m_isEmptied = false;
-
-    bool isEvacuated() const noexcept { return m_isAsked || m_isEmptied; }
+    /** The platform's operators have requested the evacuation; no run starts in the domain. */
+    bool m_isEvacuatedByPlatform = false;
+    /** A statement has requested the evacuation, independently; no run starts in the domain. */
+    bool m_isEvacuatedByStatement = false;
+
+    bool isEvacuated() const noexcept {
+        return m_isEvacuatedByPlatform || m_isEvacuatedByStatement;
+    }
 };
 
-/** By name: those that workers name, and those under evacuation whether a worker is there or not.
- */
-std::map<std::string, DomainFigures> countDomains(const JobController& jobs);
+/** Returns the domains of known workers and all evacuated domains, with workers or not, by name. */
+std::map<std::string, DomainSummary> countDomains(const JobController& jobs);
 
-/** `show domains` */
+/** Makes the table of `show domains`. */
 Table makeDomainTable(const JobController& jobs);
 
 }  // namespace pierbank
--- a/libs/operators/include/pierbank/operators/JobBackend.h
+++ b/libs/operators/include/pierbank/operators/JobBackend.h
@@ -14,15 +14,15 @@
 namespace pierbank {
 
 /**
- * Answers operators' statements. What they submit are the same jobs that callers hand in, in the
- * same store. Queries are answered by the leader from what it knows; changes go to the store in
- * one transaction with their entry in the audit trail, and reach the schedule from there.
- * Organisations, guarantees and queues are the platform's configuration: statements that would
- * change them are refused with the place to change them.
+ * Executes operators' statements on the leader. Jobs that operators submit are stored as the jobs
+ * of callers are. Queries are answered from the leader's memory. Changes are written to the store
+ * in one transaction with their entry in the audit trail, and the controller reads the changes from
+ * the store. Organisations, guarantees and queues belong to the platform's configuration:
+ * statements that would change them are refused, and the message names the configuration.
  */
 class JobBackend final : public OperatorBackend {
 public:
-    /** Figures of the callers' side, for metrics. */
+    /** Statistics of callers' requests, for the metrics. */
     struct CallerFigures {
         std::uint64_t m_served = 0;
         std::uint64_t m_refused = 0;
@@ -34,7 +34,7 @@
                const CallerFigures& callers)
             : m_loop(loop), m_core(core), m_callers(callers), m_audit(store, loop) {}
 
-    /** Whose calls the metrics show; it must outlive the backend. */
+    /** Sets the store whose calls are shown in the metrics; it must outlive the backend. */
     void setCountingStore(const CountingStore& store) { m_countingStore = &store; }
 
     bool isLeading() const override { return m_core.getJobs().isLeading(); }
@@ -51,12 +51,15 @@
     StatementAnswer explainDomain(const std::string& name) const;
 
     void submit(const StatementRequest& request, const SubmitJob& submit, StatementCallback done);
-    /** Empty, with `reason`, when the configuration does not know what it names. */
+    /**
+     * Makes the record of a submitted job. Returns nothing, and sets `reason`, if the configuration
+     * has no such organisation or queue, or if no worker of the queue's service is known.
+     */
     std::optional<JobRecord> makeRecord(const SubmitJob& submit, Reason& reason) const;
     std::optional<QueuePolicy> findQueue(const SubmitJob& submit, Reason& reason) const;
-    std::optional<Resources> getMemberNeed(const SubmitJob& submit,
-                                           const std::string& service) const;
-    StatementAnswer describeTry(const JobRecord& record) const;
+    std::optional<Resources> getMemberDemand(const SubmitJob& submit,
+                                             const std::string& service) const;
+    StatementAnswer describeTrial(const JobRecord& record) const;
     void withdraw(const StatementRequest& request, const std::string& name, StatementCallback done);
     void changeWorker(const StatementRequest& request, const ChangeWorker& change,
                       StatementCallback done);
@@ -65,7 +68,7 @@
     void setWeights(const StatementRequest& request, const SetWeights& weights,
                     StatementCallback done);
     void addStoreCalls(MetricsPage& page) const;
-    /** Commits a change of the leader's, with its audit entry. */
+    /** Commits a change with its audit entry, provided that this gateway still leads. */
     void commit(const StatementRequest& request, StoreTransaction change, std::string outcome,
                 StatementCallback done);
 
--- a/libs/operators/include/pierbank/operators/JobTables.h
+++ b/libs/operators/include/pierbank/operators/JobTables.h
@@ -10,7 +10,7 @@
 
 namespace pierbank {
 
-// What `show` lists, from what the leader knows.
+// Tables of the `show` statement, made from the leader's memory.
 
 Table makeJobTable(const JobTable& jobs, Millis wallNow);
 Table makeWorkerTable(const JobController& jobs);
@@ -19,17 +19,18 @@
 Table makeConfigurationTable(const ConfigurationFeed& feed);
 Table makeAuditTable(const std::vector<AuditEntry>& entries, Millis wallNow);
 
-/** Accelerators that a job asks for, all its steps together. */
+/** Returns the number of accelerators that all tasks of a job request together. */
 std::uint32_t countAccelerators(const JobRecord& record);
 
-/** Hosts on which a job holds workers, as names of the language. */
+/** Returns the names of the hosts on which a job has active runs, separated by blanks. */
 std::string joinHosts(const std::string& id, const JobRun& run);
 
-/** A host's address as a name of the language, which has no colons: `IP-PORT`. */
+/** Converts a host's address into a name of the statement language, without colons: `IP-PORT`. */
 std::string toHostName(std::string address);
+/** Converts a name made by toHostName() back into an address. */
 std::string toHostAddress(std::string name);
 
-/** The id of the job that an operator named: the name itself, if it is an id. */
+/** Returns the name if the name is a job's id, else the id derived from the name by a hash. */
 std::string toJobId(const std::string& name);
 
 }  // namespace pierbank
--- a/libs/operators/include/pierbank/operators/OperatorServer.h
+++ b/libs/operators/include/pierbank/operators/OperatorServer.h
@@ -14,29 +14,30 @@
 
 namespace pierbank {
 
-/** What the operators' server asks the gateway. */
+/** Interface by which OperatorServer executes statements and reads the gateway's state. */
 class OperatorBackend {
 public:
     virtual ~OperatorBackend() = default;
 
-    /** Whether statements about the schedule are executed here. */
+    /** Returns whether this gateway leads and so executes statements about the schedule. */
     virtual bool isLeading() const = 0;
-    /** Where the leader takes statements; empty when none is known. */
+    /** Returns the leader's address for statements; empty if no leader is known. */
     virtual std::optional<Address> getLeader() const = 0;
+    /** Executes a statement and calls `done` once with its answer. */
     virtual void execute(StatementRequest request, StatementCallback done) = 0;
-    /** A JSON object. */
+    /** Returns the health as a JSON object. */
     virtual std::string getHealth() const = 0;
-    /** Prometheus text. */
+    /** Returns the metrics in the Prometheus text format. */
     virtual std::string getMetrics() const = 0;
 };
 
-/** The operators' names by their bearer tokens. */
+/** Names of the operators by their bearer tokens. */
 using OperatorTokens = std::map<std::string, std::string, std::less<>>;
 
 /**
- * The operators' side, on a listener of its own: `POST /pierbank/v1/statements` (a statement as
- * text, a JSON answer), `GET /pierbank/v1/health`, `GET /pierbank/v1/metrics`. Statements that
- * belong to the leader are forwarded to it, once.
+ * HTTP server for operators on a separate listener: `POST /pierbank/v1/statements` (a statement as
+ * text, answered in JSON), `GET /pierbank/v1/health` and `GET /pierbank/v1/metrics`. A statement
+ * that only the leader can execute is forwarded to the leader, at most once.
  */
 class OperatorServer {
 public:
@@ -59,7 +60,7 @@
     HttpServer m_server;
 };
 
-/** The JSON form of an answer, and its HTTP status. */
+/** Converts an answer into an HTTP answer with a JSON body. */
 HttpServerAnswer makeStatementAnswer(const StatementAnswer& answer);
 
 }  // namespace pierbank
--- a/libs/operators/include/pierbank/operators/StatementAnswer.h
+++ b/libs/operators/include/pierbank/operators/StatementAnswer.h
@@ -12,16 +12,16 @@
 
 namespace pierbank {
 
-/** How a statement ended, for the operator's program as for the operator. */
+/** Outcome of a statement, for programs as well as for operators. */
 enum class StatementStatus {
     DONE,
-    /** Understood and refused; the message says why. Nothing changed. */
+    /** The statement is valid but was refused, as the message explains. Nothing changed. */
     REFUSED,
-    /** Not a statement, or it names a column that is not there. Nothing changed. */
+    /** The text is no statement, or names an unknown column. Nothing changed. */
     INVALID,
-    /** Not executed, and it will not be: no leader, the service is down, a newer leader. */
+    /** Not executed now or later: no leader, a newer leader, or the store is down. */
     NOT_RUN,
-    /** A write's answer was lost: it may or may not take effect. Ask again before repeating. */
+    /** A write's answer was lost, and the change may take effect: query before repeating it. */
     UNKNOWN,
 };
 
@@ -30,19 +30,19 @@
     StatementStatus m_status = StatementStatus::NOT_RUN;
     std::string m_message;
     std::optional<Table> m_table;
-    /** With NOT_RUN and UNKNOWN: when asking again makes sense. */
+    /** With NOT_RUN and UNKNOWN: delay after which the client should retry. */
     Millis m_retryAfter{0};
 };
 
-/** An answer with its time to come back, where asking again makes sense. */
+/** Makes an answer without a table; sets the retry delay if the status allows a retry. */
 StatementAnswer makeAnswer(StatementStatus status, std::string message);
 
-/** DONE with the rows that a `show` selects, or INVALID when it names an unknown column. */
+/** Makes an answer with the rows that `show` selects; INVALID if it names an unknown column. */
 StatementAnswer makeTableAnswer(Table table, const Show& show);
 
 using StatementCallback = std::function<void(const StatementAnswer&)>;
 
-/** A statement with who gave it. */
+/** A statement, its text and the operator who sent it. */
 struct StatementRequest {
     Statement m_statement;
     std::string m_text;
--- a/libs/operators/include/pierbank/operators/Table.h
+++ b/libs/operators/include/pierbank/operators/Table.h
@@ -11,7 +11,7 @@
 
 namespace pierbank {
 
-/** One value of a table: text, or a number that sorts and compares as one. */
+/** One value of a table: a text, or a number, which is sorted and compared numerically. */
 struct Cell {
     std::string m_text;
     std::optional<double> m_number;
@@ -21,7 +21,7 @@
     bool operator==(const Cell&) const = default;
 };
 
-/** Answer of a query: rows of cells below named columns. */
+/** Result of a query: rows of cells, one cell for each named column. */
 struct Table {
     std::vector<std::string> m_columns;
     std::vector<std::vector<Cell>> m_rows;
@@ -29,7 +29,7 @@
 
 /**
  * Applies the conditions, the order and the limit of a `show`.
- * @return empty, with `reason`, when the statement names a column that the table does not have.
+ * @return the selected rows; nothing, with `reason` set, if the statement names an unknown column.
  */
 std::optional<Table> selectRows(Table table, const Show& show, Reason& reason);
 
--- a/libs/operators/src/AuditTrail.cpp
+++ b/libs/operators/src/AuditTrail.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-/** Numbers are as long as each other, so that the store lists entries in their order. */
+/** Pads the number with zeros: the store sorts keys as texts, so that entries stay in order. */
 std::string makeKey(std::uint64_t number) {
     constexpr std::size_t DIGITS = 12;
     const std::string digits = std::to_string(number);
@@ -61,21 +61,22 @@
         if (list.m_items.size() >= MAX_ENTRIES) {
             change.m_removals.push_back(list.m_items.front().m_key);
         }
-        CommitRetryPolicy patience;
-        patience.m_timeLimit = PATIENCE;
-        // What the change wrote may be gone by the time that a lost answer is asked for again; the
-        // entry stays, and it went in together with the change.
+        CommitRetryPolicy retryPolicy;
+        retryPolicy.m_timeLimit = COMMIT_TIMEOUT;
+        // After a lost answer, the keys of the change may already be deleted again, but the audit
+        // entry remains. If the stored entry is this entry, the change was committed too, since
+        // both are in one transaction.
         const auto finish = [key, value, done = std::move(done)](StoreCommit commit) {
             for (const StoreItem& item : commit.m_items) {
-                const bool isOwn = item.m_key == key && item.m_value == value;
-                if (commit.m_status == StoreStatus::CONFLICT && isOwn) {
+                const bool isThisEntry = item.m_key == key && item.m_value == value;
+                if (commit.m_status == StoreStatus::CONFLICT && isThisEntry) {
                     commit.m_status = StoreStatus::OK;
                     commit.m_revision = item.m_revision;
                 }
             }
             done(commit);
         };
-        CommitResolver::run(m_store, m_loop, std::move(change), patience, m_isAlive, finish);
+        CommitResolver::run(m_store, m_loop, std::move(change), retryPolicy, m_isAlive, finish);
     });
 }
 
--- a/libs/operators/src/BackendAnswers.h
+++ b/libs/operators/src/BackendAnswers.h
@@ -10,13 +10,13 @@
 
 namespace pierbank {
 
-/** The job of this name or id; null when there is none. */
+/** Returns the job of this name or id; null if there is none. */
 inline const JobEntry* findJob(const JobTable& jobs, const std::string& name) {
     const auto found = jobs.find(toJobId(name));
     return found == jobs.end() ? nullptr : &found->second;
 }
 
-/** Nothing was changed, for this reason. */
+/** Makes a REFUSED answer with this message. */
 inline StatementAnswer refuse(std::string why) {
     return makeAnswer(StatementStatus::REFUSED, std::move(why));
 }
--- a/libs/operators/src/DomainTable.cpp
+++ b/libs/operators/src/DomainTable.cpp
@@ -5,17 +5,17 @@
 
 namespace {
 
-std::string describeState(const DomainFigures& domain) {
-    if (domain.m_isAsked && domain.m_isEmptied) {
+std::string describeState(const DomainSummary& domain) {
+    if (domain.m_isEvacuatedByPlatform && domain.m_isEvacuatedByStatement) {
         return "evacuated by both";
     }
-    if (domain.m_isAsked) {
+    if (domain.m_isEvacuatedByPlatform) {
         return "evacuated by the platform";
     }
-    return domain.m_isEmptied ? "evacuated by a statement" : "open";
+    return domain.m_isEvacuatedByStatement ? "evacuated by a statement" : "open";
 }
 
-void countRuns(const JobController& jobs, std::map<std::string, DomainFigures>& domains) {
+void countRuns(const JobController& jobs, std::map<std::string, DomainSummary>& domains) {
     const auto& hosts = jobs.getWorkers().getHosts();
     for (const auto& [id, entry] : jobs.getJobs()) {
         for (const ActiveRun& run : listActiveRuns(id, entry.m_run)) {
@@ -29,23 +29,23 @@
 
 }  // namespace
 
-std::map<std::string, DomainFigures> countDomains(const JobController& jobs) {
-    std::map<std::string, DomainFigures> domains;
+std::map<std::string, DomainSummary> countDomains(const JobController& jobs) {
+    std::map<std::string, DomainSummary> domains;
     for (const auto& [address, host] : jobs.getWorkers().getHosts()) {
         if (!host.m_notice.has_value() || host.m_notice->m_incarnation.empty()) {
             continue;
         }
-        DomainFigures& domain = domains[host.m_notice->m_failureDomain];
+        DomainSummary& domain = domains[host.m_notice->m_failureDomain];
         ++domain.m_workers;
         domain.m_linkedWorkers += host.isLinked() ? 1 : 0;
         domain.m_accelerators += host.m_notice->m_accelerators;
     }
     countRuns(jobs, domains);
     for (const auto& [name, revision] : jobs.getEvacuations().getDomains()) {
-        domains[name].m_isAsked = true;
+        domains[name].m_isEvacuatedByPlatform = true;
     }
     for (const std::string& name : jobs.getStatementEvacuations()) {
-        domains[name].m_isEmptied = true;
+        domains[name].m_isEvacuatedByStatement = true;
     }
     return domains;
 }
@@ -53,17 +53,17 @@
 Table makeDomainTable(const JobController& jobs) {
     Table table;
     table.m_columns = {"name", "state", "workers", "linked", "accelerators", "runs", "asked_at"};
-    const auto& asked = jobs.getEvacuations().getDomains();
+    const auto& platformEvacuations = jobs.getEvacuations().getDomains();
     for (const auto& [name, domain] : countDomains(jobs)) {
-        const auto request = asked.find(name);
+        const auto evacuation = platformEvacuations.find(name);
         table.m_rows.push_back({Cell::ofText(name), Cell::ofText(describeState(domain)),
                                 Cell::ofNumber(static_cast<double>(domain.m_workers)),
                                 Cell::ofNumber(static_cast<double>(domain.m_linkedWorkers)),
                                 Cell::ofNumber(domain.m_accelerators),
                                 Cell::ofNumber(static_cast<double>(domain.m_runs)),
-                                request == asked.end()
+                                evacuation == platformEvacuations.end()
                                         ? Cell::ofText("-")
-                                        : Cell::ofNumber(static_cast<double>(request->second))});
+                                        : Cell::ofNumber(static_cast<double>(evacuation->second))});
     }
     return table;
 }
--- a/libs/operators/src/JobBackend.cpp
+++ b/libs/operators/src/JobBackend.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-WorkerAdminState toHold(HostAction action) {
+WorkerAdminState toAdminState(HostAction action) {
     switch (action) {
         case HostAction::QUARANTINE:
             return WorkerAdminState::QUARANTINE;
@@ -41,14 +41,14 @@
         done(explainOrganisation(organisation->m_name));
     } else if (const auto* const domain = std::get_if<WhyDomain>(&statement)) {
         done(explainDomain(domain->m_name));
-    } else if (const auto* const submitted = std::get_if<SubmitJob>(&statement)) {
-        submit(request, *submitted, std::move(done));
-    } else if (const auto* const withdrawn = std::get_if<WithdrawJob>(&statement)) {
-        withdraw(request, withdrawn->m_name, std::move(done));
+    } else if (const auto* const submission = std::get_if<SubmitJob>(&statement)) {
+        submit(request, *submission, std::move(done));
+    } else if (const auto* const withdrawal = std::get_if<WithdrawJob>(&statement)) {
+        withdraw(request, withdrawal->m_name, std::move(done));
     } else if (const auto* const change = std::get_if<ChangeWorker>(&statement)) {
         changeWorker(request, *change, std::move(done));
-    } else if (const auto* const emptied = std::get_if<ChangeDomain>(&statement)) {
-        changeDomain(request, *emptied, std::move(done));
+    } else if (const auto* const domainChange = std::get_if<ChangeDomain>(&statement)) {
+        changeDomain(request, *domainChange, std::move(done));
     } else if (const auto* const weights = std::get_if<SetWeights>(&statement)) {
         setWeights(request, *weights, std::move(done));
     } else {
@@ -106,14 +106,14 @@
     if (!hosts.empty()) {
         text.append("\non ").append(hosts);
     }
-    const std::string note = m_core.getJobs().getExplanation(id);
-    if (!note.empty()) {
-        text.append("\nlast plan: ").append(note);
+    const std::string explanation = m_core.getJobs().getExplanation(id);
+    if (!explanation.empty()) {
+        text.append("\nlast plan: ").append(explanation);
     }
-    for (const JobEvent& decision : run.m_history) {
-        const Millis age = m_loop.wallNow() - decision.m_at;
+    for (const JobEvent& event : run.m_history) {
+        const Millis age = m_loop.wallNow() - event.m_at;
         text.append("\n").append(std::to_string(age.count())).append(" ms ago: ");
-        text.append(decision.m_text);
+        text.append(event.m_text);
     }
     return makeAnswer(StatementStatus::DONE, std::move(text));
 }
@@ -129,9 +129,9 @@
     text.append(host->isLinked() ? ", linked" : ", not linked");
     text.append(host->m_hasReport ? ", its runs are known" : ", its runs are not known yet");
     text.append(host->m_notice->m_isDraining ? ", draining" : "");
-    const WorkerAdminState hold = m_core.getJobs().getAdminState(address);
-    if (hold != WorkerAdminState::RELEASE) {
-        text.append(", by an operator's word: ").append(toText(hold));
+    const WorkerAdminState adminState = m_core.getJobs().getAdminState(address);
+    if (adminState != WorkerAdminState::RELEASE) {
+        text.append(", by an operator's word: ").append(toText(adminState));
     }
     if (m_core.getJobs().isEvacuated(host->m_notice->m_failureDomain)) {
         text.append(", its failure domain ").append(host->m_notice->m_failureDomain);
@@ -190,7 +190,7 @@
         return;
     }
     const std::string before(toText(m_core.getJobs().getAdminState(address)));
-    const std::string after(toText(toHold(change.m_action)));
+    const std::string after(toText(toAdminState(change.m_action)));
     StoreTransaction transaction;
     transaction.m_puts = {{getWorkerKey(address), after, 0}};
     commit(request, std::move(transaction),
@@ -236,16 +236,16 @@
             });
 }
 
-// Figures.
+// Health and metrics.
 
 std::string JobBackend::getHealth() const {
     const auto age = m_core.getConfiguration().getAge();
-    std::size_t live = 0;
+    std::size_t liveWorkers = 0;
     for (const auto& [address, host] : m_core.getJobs().getWorkers().getHosts()) {
-        live += host.isLinked() && host.m_hasReport ? 1 : 0;
+        liveWorkers += host.isLinked() && host.m_hasReport ? 1 : 0;
     }
     return std::string(R"({"leading":)") + (isLeading() ? "true" : "false") +
-           R"(,"workers_live":)" + std::to_string(live) + R"(,"configuration_age_ms":)" +
+           R"(,"workers_live":)" + std::to_string(liveWorkers) + R"(,"configuration_age_ms":)" +
            (age.has_value() ? std::to_string(age->count()) : "null") + "}";
 }
 
@@ -263,7 +263,7 @@
     const auto evacuated = std::count_if(domains.begin(), domains.end(), [](const auto& domain) {
         return domain.second.isEvacuated();
     });
-    const JobStatistics& figures = jobs.getStatistics();
+    const JobStatistics& statistics = jobs.getStatistics();
     MetricsPage page;
     page.addGauge("pierbank_leading", "1 at the gateway that leads", isLeading() ? 1 : 0);
     page.addGauge("pierbank_epoch", "epoch of this leader, or zero",
@@ -274,23 +274,23 @@
                   static_cast<double>(running));
     page.addGauge("pierbank_hosts_linked", "gateways and sidecars linked to this leader",
                   static_cast<double>(linked));
-    page.addCounter("pierbank_runs_placed_total", "runs placed", figures.m_placed);
-    page.addCounter("pierbank_runs_copied_total", "copies of slow tasks", figures.m_copied);
+    page.addCounter("pierbank_runs_placed_total", "runs placed", statistics.m_placed);
+    page.addCounter("pierbank_runs_copied_total", "copies of slow tasks", statistics.m_copied);
     page.addCounter("pierbank_runs_stopped_total", "runs stopped for others, or moved",
-                    figures.m_stopped);
-    page.addCounter("pierbank_runs_lost_total", "runs lost with their worker", figures.m_lost);
+                    statistics.m_stopped);
+    page.addCounter("pierbank_runs_lost_total", "runs lost with their worker", statistics.m_lost);
     page.addCounter("pierbank_runs_withdrawn_total",
                     "runs taken back unbegun from failure domains under evacuation",
-                    figures.m_revoked);
+                    statistics.m_revoked);
     page.addGauge("pierbank_domains_evacuated", "failure domains under evacuation",
                   static_cast<double>(evacuated));
     page.addCounter("pierbank_unreadable_total", "entries of others that could not be read",
                     countUnreadable());
-    page.addCounter("pierbank_commits_total", "transactions of decisions", figures.m_commits);
-    page.addCounter("pierbank_plans_total", "plans made", figures.m_plans);
-    page.addSummary("pierbank_plan_ms", "time that a plan took", figures.m_planTime);
+    page.addCounter("pierbank_commits_total", "transactions of decisions", statistics.m_commits);
+    page.addCounter("pierbank_plans_total", "plans made", statistics.m_plans);
+    page.addSummary("pierbank_plan_ms", "time that a plan took", statistics.m_planTime);
     page.addSummary("pierbank_first_placement_ms", "from acceptance to the first placement",
-                    figures.m_timeToFirstPlacement);
+                    statistics.m_timeToFirstPlacement);
     page.addCounter("pierbank_requests_served_total", "callers' requests answered with 200",
                     m_callers.m_served);
     page.addCounter("pierbank_requests_refused_total", "callers' requests answered otherwise",
--- a/libs/operators/src/JobBackendDomains.cpp
+++ b/libs/operators/src/JobBackendDomains.cpp
@@ -16,21 +16,21 @@
     if (known == domains.end()) {
         return refuse("there is no failure domain " + name);
     }
-    const DomainFigures& figures = known->second;
+    const DomainSummary& summary = known->second;
     std::string text("failure domain ");
-    text.append(name).append(": ").append(std::to_string(figures.m_workers)).append(" workers, ");
-    text.append(std::to_string(figures.m_runs)).append(" runs");
-    const auto& asked = jobs.getEvacuations().getDomains();
-    const auto found = asked.find(name);
-    if (found != asked.end()) {
+    text.append(name).append(": ").append(std::to_string(summary.m_workers)).append(" workers, ");
+    text.append(std::to_string(summary.m_runs)).append(" runs");
+    const auto& platformEvacuations = jobs.getEvacuations().getDomains();
+    const auto evacuation = platformEvacuations.find(name);
+    if (evacuation != platformEvacuations.end()) {
         text.append("\nunder evacuation by the platform's operators, since revision ");
-        text.append(std::to_string(found->second)).append("; they withdraw it");
+        text.append(std::to_string(evacuation->second)).append("; they withdraw it");
     }
     if (jobs.isEvacuatedByStatement(name)) {
         text.append("\nunder evacuation by a statement; `domain release ").append(name);
         text.append("` withdraws it, `show audit` says whose it was");
     }
-    if (figures.isEvacuated()) {
+    if (summary.isEvacuated()) {
         text.append("\nnothing begins there; what runs there ends by itself, what lasts moves off");
     }
     return makeAnswer(StatementStatus::DONE, std::move(text));
@@ -42,27 +42,28 @@
     const std::string& name = change.m_name;
     const auto domains = countDomains(jobs);
     const auto known = domains.find(name);
-    const DomainFigures figures = known == domains.end() ? DomainFigures() : known->second;
-    if (change.m_isEvacuated && figures.m_workers == 0) {
+    const DomainSummary summary = known == domains.end() ? DomainSummary() : known->second;
+    if (change.m_isEvacuated && summary.m_workers == 0) {
         done(refuse("there is no failure domain " + name));
         return;
     }
-    if (!change.m_isEvacuated && !figures.m_isEmptied) {
-        done(refuse(figures.m_isAsked
+    if (!change.m_isEvacuated && !summary.m_isEvacuatedByStatement) {
+        done(refuse(summary.m_isEvacuatedByPlatform
                             ? "failure domain " + name +
                                       " is under evacuation by the platform's operators, who "
                                       "withdraw it"
                             : "failure domain " + name + " is not under evacuation"));
         return;
     }
-    const auto toWord = [](bool isEvacuatedByStatement) {
+    const auto getStateWord = [](bool isEvacuatedByStatement) {
         return std::string(isEvacuatedByStatement ? EVACUATE_WORD : RELEASE_WORD);
     };
-    const std::string after = toWord(change.m_isEvacuated);
+    const std::string after = getStateWord(change.m_isEvacuated);
     StoreTransaction transaction;
     transaction.m_puts = {{getDomainKey(name), after, 0}};
     commit(request, std::move(transaction),
-           "failure domain " + name + ": " + toWord(figures.m_isEmptied) + " -> " + after,
+           "failure domain " + name + ": " + getStateWord(summary.m_isEvacuatedByStatement) +
+                   " -> " + after,
            std::move(done));
 }
 
--- a/libs/operators/src/JobBackendSubmit.cpp
+++ b/libs/operators/src/JobBackendSubmit.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Jobs that operators submit by a statement, and what would become of them.
+// Statements that submit a job or check its submission.
 #include <algorithm>
 #include <utility>
 
@@ -48,10 +48,14 @@
     return chosen;
 }
 
-/** Each member takes of its worker's processors and memory what it takes of its accelerators. */
-std::optional<Resources> JobBackend::getMemberNeed(const SubmitJob& submit,
-                                                   const std::string& service) const {
-    std::optional<Resources> need;
+/**
+ * Returns a member's demand: the same share of a worker's processors and memory as of its
+ * accelerators. The smallest demand over all workers of the service is used; nothing if there is no
+ * such worker.
+ */
+std::optional<Resources> JobBackend::getMemberDemand(const SubmitJob& submit,
+                                                     const std::string& service) const {
+    std::optional<Resources> smallest;
     for (const auto& [address, host] : m_core.getJobs().getWorkers().getHosts()) {
         if (!host.m_notice.has_value() || host.m_notice->m_service != service ||
             host.m_notice->m_accelerators == 0) {
@@ -60,14 +64,14 @@
         const WorkerNotice& notice = *host.m_notice;
         const double share = std::min(
                 1.0, static_cast<double>(submit.m_shape.m_accelerators) / notice.m_accelerators);
-        const Resources own{static_cast<std::uint32_t>(share * notice.m_cpuMillis),
-                            static_cast<std::uint32_t>(share * notice.m_memoryMb),
-                            submit.m_shape.m_accelerators};
-        if (!need.has_value() || own.fitsInto(*need)) {
-            need = own;
+        const Resources workerDemand{static_cast<std::uint32_t>(share * notice.m_cpuMillis),
+                                     static_cast<std::uint32_t>(share * notice.m_memoryMb),
+                                     submit.m_shape.m_accelerators};
+        if (!smallest.has_value() || workerDemand.fitsInto(*smallest)) {
+            smallest = workerDemand;
         }
     }
-    return need;
+    return smallest;
 }
 
 std::optional<JobRecord> JobBackend::makeRecord(const SubmitJob& submit, Reason& reason) const {
@@ -75,14 +79,14 @@
     if (!policy.has_value()) {
         return std::nullopt;
     }
-    const auto need = getMemberNeed(submit, policy->m_service);
-    if (!need.has_value()) {
+    const auto demand = getMemberDemand(submit, policy->m_service);
+    if (!demand.has_value()) {
         reason = "no worker of service " + policy->m_service + " is known";
         return std::nullopt;
     }
     StepSpec step;
     step.m_tasks = submit.m_shape.m_members;
-    step.m_need = *need;
+    step.m_need = *demand;
     step.m_estimate = submit.m_runTime;
     step.m_isGang = submit.m_shape.m_members > 1;
     step.m_adjacency = submit.m_shape.m_adjacency;
@@ -97,14 +101,14 @@
     return record;
 }
 
-/** What the planner would do with a job now. */
-StatementAnswer JobBackend::describeTry(const JobRecord& record) const {
+/** Returns how the planner would treat the job now; REFUSED if the job can never run. */
+StatementAnswer JobBackend::describeTrial(const JobRecord& record) const {
     const TaskPlan plan = m_core.getJobs().makeTrialPlan(record);
     std::string text = "would be accepted";
-    for (const PlanExplanation& note : plan.m_explanations) {
-        if (note.m_job == record.m_id) {
-            text = note.m_text;
-            if (note.m_kind == PlanExplanation::Kind::CANNOT_RUN) {
+    for (const PlanExplanation& explanation : plan.m_explanations) {
+        if (explanation.m_job == record.m_id) {
+            text = explanation.m_text;
+            if (explanation.m_kind == PlanExplanation::Kind::CANNOT_RUN) {
                 return refuse(text);
             }
         }
@@ -129,9 +133,9 @@
         done(refuse("there is, or lately was, a job " + submit.m_name));
         return;
     }
-    const StatementAnswer tried = describeTry(*record);
-    if (submit.m_isCheck || tried.m_status != StatementStatus::DONE) {
-        done(tried);
+    const StatementAnswer trial = describeTrial(*record);
+    if (submit.m_isCheck || trial.m_status != StatementStatus::DONE) {
+        done(trial);
         return;
     }
     StoreTransaction change;
--- a/libs/operators/src/JobTables.cpp
+++ b/libs/operators/src/JobTables.cpp
@@ -27,7 +27,7 @@
     return count;
 }
 
-/** What runs take of each host. */
+/** Returns the capacity that active runs occupy on each host, by the host's address. */
 std::map<std::string, Resources> sumUsed(const JobTable& jobs) {
     std::map<std::string, Resources> used;
     for (const auto& [id, entry] : jobs) {
@@ -55,11 +55,11 @@
     if (jobs.isEvacuated(notice.m_failureDomain)) {
         return "evacuated";
     }
-    const WorkerAdminState hold = jobs.getAdminState(host.m_address);
-    return hold == WorkerAdminState::RELEASE ? "live" : std::string(toText(hold));
+    const WorkerAdminState adminState = jobs.getAdminState(host.m_address);
+    return adminState == WorkerAdminState::RELEASE ? "live" : std::string(toText(adminState));
 }
 
-bool isKnown(const WorkerPool::Host& host) {
+bool hasWorker(const WorkerPool::Host& host) {
     return host.m_notice.has_value() && !host.m_notice->m_incarnation.empty();
 }
 
@@ -105,8 +105,8 @@
 
 std::string joinHosts(const std::string& id, const JobRun& run) {
     std::set<std::string> hosts;
-    for (const ActiveRun& held : listActiveRuns(id, run)) {
-        hosts.insert(held.m_worker.m_host);
+    for (const ActiveRun& active : listActiveRuns(id, run)) {
+        hosts.insert(active.m_worker.m_host);
     }
     std::string text;
     for (const std::string& host : hosts) {
@@ -142,7 +142,7 @@
     table.m_columns = {"name", "domain",     "rack",      "state",   "accelerators",
                        "used", "cores_used", "shrunk_by", "slowness"};
     for (const auto& [address, host] : jobs.getWorkers().getHosts()) {
-        if (!isKnown(host)) {
+        if (!hasWorker(host)) {
             continue;
         }
         const WorkerNotice& notice = *host.m_notice;
@@ -170,7 +170,7 @@
     std::map<std::string, Resources> used = sumUsed(jobs.getJobs());
     std::map<std::string, Rack> racks;
     for (const auto& [address, host] : jobs.getWorkers().getHosts()) {
-        if (!isKnown(host)) {
+        if (!hasWorker(host)) {
             continue;
         }
         Rack& rack = racks[host.m_notice->m_rack];
--- a/libs/operators/src/OperatorServer.cpp
+++ b/libs/operators/src/OperatorServer.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr std::string_view FORWARDED = "Pierbank-Forwarded";
-/** Longer than a statement's patience at the leader. */
+constexpr std::string_view FORWARDED_HEADER = "Pierbank-Forwarded";
+/** Longer than the leader may take for a statement, see AuditTrail::COMMIT_TIMEOUT. */
 constexpr Millis FORWARD_TIMEOUT{6000};
 
 std::string dump(const nlohmann::json& value) {
@@ -49,7 +49,7 @@
     return {status, {{"Content-Type", std::string(type)}}, std::move(body)};
 }
 
-/** The configuration is known everywhere; the rest is the leader's. */
+/** Returns whether any gateway can answer: all know the configuration, only the leader the rest. */
 bool isLocal(const Statement& statement) {
     const auto* const show = std::get_if<Show>(&statement);
     return show != nullptr && show->m_subject == Subject::CONFIGURATION;
@@ -118,7 +118,7 @@
         return;
     }
     const bool isForLeader = !isLocal(*parsed.m_statement) && !m_backend.isLeading();
-    const bool wasForwarded = !request.getHeader(FORWARDED).empty();
+    const bool wasForwarded = !request.getHeader(FORWARDED_HEADER).empty();
     const auto leader = m_backend.getLeader();
     if (isForLeader && (wasForwarded || !leader.has_value())) {
         call->answer(makeStatementAnswer(makeAnswer(
@@ -148,19 +148,19 @@
     forwarded.m_timeout = FORWARD_TIMEOUT;
     forwarded.m_mayRepeat = false;
     forwarded.m_headers = {{"Authorization", std::string(request.getHeader("Authorization"))},
-                           {std::string(FORWARDED), "1"}};
+                           {std::string(FORWARDED_HEADER), "1"}};
     m_client.send(forwarded, [call](const HttpResult& result) {
         if (result.m_status != 0) {
             call->answer(
                     makeText(result.m_status, result.getHeader("Content-Type"), result.m_body));
             return;
         }
-        const bool isProved = result.m_isRefused;
-        call->answer(makeStatementAnswer(
-                makeAnswer(isProved ? StatementStatus::NOT_RUN : StatementStatus::UNKNOWN,
-                           isProved ? "not run: the leader cannot be reached"
-                                    : "unknown: the leader did not answer; look with `show` before "
-                                      "repeating it")));
+        const bool isNotExecuted = result.m_isRefused;
+        call->answer(makeStatementAnswer(makeAnswer(
+                isNotExecuted ? StatementStatus::NOT_RUN : StatementStatus::UNKNOWN,
+                isNotExecuted ? "not run: the leader cannot be reached"
+                              : "unknown: the leader did not answer; look with `show` before "
+                                "repeating it")));
     });
 }
 
--- a/libs/operators/src/StatementAnswer.cpp
+++ b/libs/operators/src/StatementAnswer.cpp
@@ -6,7 +6,7 @@
 namespace pierbank {
 
 StatementAnswer makeAnswer(StatementStatus status, std::string message) {
-    /** A leader is replaced, and the store is usually back, within about this time. */
+    // A leader is replaced, and the store is usually available again, within about this time.
     constexpr Millis RETRY_AFTER{1000};
     StatementAnswer answer;
     answer.m_status = status;
--- a/libs/operators/src/Table.cpp
+++ b/libs/operators/src/Table.cpp
@@ -18,7 +18,7 @@
     return number;
 }
 
-/** Negative, zero or positive, as numbers when both are, else as texts. */
+/** Returns the sign of the order: numeric if both cells are numbers, else by text. */
 int compare(const Cell& a, const Cell& b) {
     if (a.m_number.has_value() && b.m_number.has_value()) {
         return (*a.m_number > *b.m_number) - (*a.m_number < *b.m_number);
@@ -26,7 +26,7 @@
     return a.m_text.compare(b.m_text);
 }
 
-bool holds(const Cell& cell, Comparison comparison, const Cell& value) {
+bool matches(const Cell& cell, Comparison comparison, const Cell& value) {
     const int order = compare(cell, value);
     switch (comparison) {
         case Comparison::EQUAL:
@@ -79,7 +79,7 @@
         }
         const Cell value{condition.m_value, parseNumber(condition.m_value)};
         std::erase_if(table.m_rows, [&](const std::vector<Cell>& row) {
-            return !holds(row[*column], condition.m_comparison, value);
+            return !matches(row[*column], condition.m_comparison, value);
         });
     }
     if (!show.m_orderBy.empty()) {
