--- a/libs/statement/include/pierbank/statement/Statement.h
+++ b/libs/statement/include/pierbank/statement/Statement.h
@@ -13,7 +13,7 @@
 
 namespace pierbank {
 
-// Statements of the query and command language; docs/LANGUAGE.md has the grammar and examples.
+// Statements of the query and command language. docs/LANGUAGE.md documents the grammar.
 
 /** `organisation create NAME` */
 struct CreateOrganisation {
@@ -25,7 +25,7 @@
     std::string m_name;
 };
 
-/** `guarantee NAME COUNT of SHAPE [within PART]`; a count of zero takes the guarantee back. */
+/** `guarantee NAME COUNT of SHAPE [within PART]`; a count of zero removes the guarantee. */
 struct SetGuarantee {
     std::string m_organisation;
     std::uint32_t m_count = 0;
@@ -44,12 +44,13 @@
 struct SubmitJob {
     std::string m_name;
     std::string m_organisation;
-    /** Empty: the most urgent queue for urgent jobs, else the least urgent. */
+    /** If empty, the queue of the highest priority for urgent jobs, else of the lowest. */
     std::string m_queue;
     Shape m_shape;
+    /** Declared run time; an hour if the statement gives none. */
     Millis m_runTime{0};
     bool m_isUrgent = false;
-    /** Only say what would happen. */
+    /** The outcome is only reported, and nothing is submitted. */
     bool m_isCheck = false;
 };
 
@@ -58,7 +59,7 @@
     std::string m_name;
 };
 
-/** What an operator does to a host. */
+/** Change of a host's administrative state. */
 enum class HostAction { QUARANTINE, RELEASE, DRAIN };
 
 /** `worker quarantine|release|drain NAME` */
@@ -69,14 +70,15 @@
 
 /** `domain evacuate|release NAME` */
 struct ChangeDomain {
-    /** Nothing begins there until it is released. */
+    /** No run starts in the domain until the domain is released. */
     bool m_isEvacuated = false;
     std::string m_name;
 };
 
-/** What `show` lists. */
+/** Objects that `show` lists. */
 enum class Subject { JOBS, ORGANISATIONS, WORKERS, RACKS, DOMAINS, CONFIGURATION, AUDIT };
 
+/** Operator of a condition, in the order of the grammar's signs. */
 enum class Comparison { EQUAL, NOT_EQUAL, LESS, LESS_OR_EQUAL, GREATER, GREATER_OR_EQUAL };
 
 /** `COLUMN OPERATOR VALUE` */
@@ -119,29 +121,29 @@
                                SubmitJob, WithdrawJob, ChangeWorker, ChangeDomain, Show, WhyJob,
                                WhyWorker, WhyOrganisation, WhyDomain>;
 
-/** Where a text stops being a statement. */
+/** Position and description of an error in the text of a statement. */
 struct ParseError {
-    /** Counted from 1. */
+    /** Column in bytes, counted from 1. */
     std::size_t m_column = 1;
     std::string m_message;
 
-    /** The text with a caret below the column. */
+    /** Returns the part of the statement around the error with a caret below the column. */
     std::string toText(std::string_view statement) const;
 };
 
-/** A statement, or where it goes wrong and what was expected there. */
+/** A statement, or the error if the text is not valid. */
 struct ParseResult {
     std::optional<Statement> m_statement;
     ParseError m_error;
 };
 
-/** Longer texts are refused; no statement needs as much. */
+/** Maximum length of a statement's text, far above the length of any useful statement. */
 inline constexpr std::size_t MAX_STATEMENT_BYTES = 4096;
 
-/** Reads one statement. */
+/** Parses one statement, with an optional semicolon at its end. */
 ParseResult parseStatement(std::string_view text);
 
-/** Whether a statement changes anything (and therefore goes to the leader and the audit trail). */
+/** Returns whether a statement changes state, and so needs the leader and an audit entry. */
 bool isChange(const Statement& statement);
 
 }  // namespace pierbank
--- a/libs/statement/src/Grammar.h
+++ b/libs/statement/src/Grammar.h
@@ -5,12 +5,12 @@
 #include <tao/pegtl.hpp>
 #include <tao/pegtl/contrib/parse_tree.hpp>
 
-/** The grammar of the query and command language, as PEGTL rules. docs/LANGUAGE.md describes it. */
+/** PEGTL rules of the query and command language, which docs/LANGUAGE.md documents. */
 namespace pierbank::grammar {
 
 namespace p = tao::pegtl;
 
-// NOLINTBEGIN(readability-identifier-naming): rules are types, named as in the grammar's page.
+// NOLINTBEGIN(readability-identifier-naming): rules are types, named as in docs/LANGUAGE.md.
 
 struct Blank : p::plus<p::blank> {};
 struct MaybeBlank : p::star<p::blank> {};
@@ -125,7 +125,7 @@
 struct Whole : p::seq<MaybeBlank, p::must<AnyStatement>, MaybeBlank, p::opt<p::one<';'>>,
                       MaybeBlank, p::must<End>> {};
 
-// What is expected where a rule fails; every rule under a `must` needs one to compile.
+// Error message of a failed rule. Every rule under `must` needs a specialisation to compile.
 template <typename>
 inline constexpr const char* EXPECTED = nullptr;
 template <>
@@ -194,7 +194,7 @@
 struct Errors {
     template <typename Rule>
     static constexpr const char* message = EXPECTED<Rule>;
-    /** Only a failure under `must` is an error; elsewhere another alternative may match. */
+    /** Only a failure under `must` is an error: otherwise another alternative may match. */
     template <typename Rule>
     static constexpr bool raise_on_failure = false;
 };
--- a/libs/statement/src/StatementParser.cpp
+++ b/libs/statement/src/StatementParser.cpp
@@ -43,7 +43,7 @@
     return number;
 }
 
-/** Builds typed statements from the parse tree, checking what the grammar cannot. */
+/** Builds statements from the parse tree and checks ranges, which the grammar does not. */
 class StatementBuilder {
 public:
     ParseResult build(const Node& node) {
@@ -137,9 +137,9 @@
         if (shape.m_members < 1 || shape.m_members > MAX_MEMBERS) {
             fail(*members, "expected 1 to " + std::to_string(MAX_MEMBERS) + " members");
         }
-        const bool hasGoodCount =
+        const bool isInRange =
                 shape.m_accelerators >= 1 && shape.m_accelerators <= MAX_ACCELERATORS_PER_WORKER;
-        if (!hasGoodCount) {
+        if (!isInRange) {
             fail(*accelerators, "expected 1 to " + std::to_string(MAX_ACCELERATORS_PER_WORKER) +
                                         " accelerators of each member");
         }
@@ -229,12 +229,12 @@
 }  // namespace
 
 std::string ParseError::toText(std::string_view statement) const {
-    constexpr std::size_t CONTEXT = 60;
-    const std::size_t start = m_column > CONTEXT ? m_column - CONTEXT : 0;
-    std::string shown(statement.substr(std::min(start, statement.size()), 2 * CONTEXT));
+    constexpr std::size_t CONTEXT_BYTES = 60;
+    const std::size_t start = m_column > CONTEXT_BYTES ? m_column - CONTEXT_BYTES : 0;
+    std::string excerpt(statement.substr(std::min(start, statement.size()), 2 * CONTEXT_BYTES));
     std::replace_if(
-            shown.begin(), shown.end(), [](unsigned char c) { return c < ' '; }, ' ');
-    return shown + "\n" + std::string(m_column - start - 1, ' ') + "^ column " +
+            excerpt.begin(), excerpt.end(), [](unsigned char c) { return c < ' '; }, ' ');
+    return excerpt + "\n" + std::string(m_column - start - 1, ' ') + "^ column " +
            std::to_string(m_column) + ": " + m_message;
 }
 
--- a/libs/trace/include/pierbank/trace/JobTrace.h
+++ b/libs/trace/include/pierbank/trace/JobTrace.h
@@ -13,31 +13,37 @@
 
 namespace pierbank {
 
-/** What took a job's time, or the job. */
+/**
+ * Cause to which a job's time, or its failure to be accepted, is attributed. The time of an
+ * unsuccessful run includes the wait for the next placement.
+ */
 enum class Cause : std::uint8_t {
-    /** No gateway was known to have taken it. */
+    /** No gateway logged an acceptance of the job. */
     NOT_TAKEN,
-    /** From the first request to the acceptance. */
+    /** Time from the first request to the acceptance. */
     INTAKE,
-    /** From the acceptance until a leader knew of it, and take-overs before its first start. */
+    /** Time from the acceptance until a leader read the job, with take-overs before its start. */
     LEADER,
-    /** From there to the start. */
+    /** Waiting for free capacity, until the first placement. */
     ROOM,
+    /** Runs that were preempted. */
     EVICTED,
-    /** Its host hung. */
+    /** Runs that were stopped because they made no progress. */
     STALLED,
+    /** Runs that failed. */
     RUN_FAILED,
-    /** Its host was lost, or restarted. */
+    /** Runs whose host was lost or restarted. */
     RUN_LOST,
-    /** The rest: the run that ended well. */
+    /** The remaining time: the run that succeeded. */
     WORK,
 };
 
 constexpr std::size_t CAUSES = static_cast<std::size_t>(Cause::WORK) + 1;
 
+/** Returns the cause's name as the trace tool prints it. */
 std::string_view toText(Cause cause);
 
-/** What became of one job. */
+/** Timeline of one job: its requests, outcome, and time by cause. Times are wall times. */
 struct JobStory {
     std::string m_id;
     std::string m_queue;
@@ -46,76 +52,89 @@
     std::optional<Millis> m_firstAskedAt;
     std::optional<Millis> m_acceptedAt;
     std::optional<Millis> m_endedAt;
-    /** `succeeded`, `failed`, `cancelled`; empty while it goes on. */
+    /** `succeeded`, `failed` or `cancelled`; empty for a job that has not finished. */
     std::string m_phase;
+    /** Time from the first request within which the job should finish; zero for none. */
     Millis m_objective{0};
-    /** Answers other than 200 to its submissions: "503 reason", how often. */
+    /** Number of answers other than 200 to its submissions, by "STATUS REASON". */
     std::map<std::string, std::uint32_t> m_refusals;
-    /** One of them was no fault of the request. */
+    /** At least one refusal was a 503 or 504, for which the request was not at fault. */
     bool m_isTurnedAway = false;
-    /** Of these, given while another gateway accepted a job. */
+    /** Number of 503 and 504 refusals at about the time when another gateway accepted a job. */
     std::uint32_t m_neededNot = 0;
-    /** Not taken, and for the caller's whole time no gateway reached the store. */
+    /** Not accepted, and no gateway reached the store for as long as the caller retried. */
     bool m_wasOutOfReach = false;
+    /** Number of runs that were preempted. */
     std::uint32_t m_evictions = 0;
-    /** Core-seconds of runs that were stopped for others. */
+    /** Core-seconds of runs that were preempted. */
     double m_workLost = 0;
+    /** Hosts of failed runs, in the order of the failures. */
     std::vector<std::string> m_failedOn;
-    /** Urgent jobs: what they waited for, in turn (`stops`, `ends`, `room`, `workers`). */
+    /** What an urgent job waited for, in order of time (`stops`, `ends`, `room`, `workers`). */
     std::vector<std::string> m_waitedFor;
-    /** By cause, the most that one of its tasks lost. */
+    /** Time lost by cause: the maximum over the job's tasks. */
     std::array<Millis, CAUSES> m_lost{};
 
+    /** Returns whether the job finished after its objective; false without an objective. */
     bool isLate() const;
-    /** What took most of the time beside the work itself. */
+    /** Returns the cause of most lost time; WORK if no cause lost a notable time. */
     Cause getCause() const;
 };
 
-/** Reads the logs of all gateways, in any order, and tells each job's story. */
+/** Builds the timeline of each job from the log lines of all gateways, given in any order. */
 class JobTrace {
 public:
-    /** @param patience how long callers go on asking, as far as the logs don't tell. */
-    explicit JobTrace(Millis patience = Millis(3000)) : m_patience(patience) {}
+    /** @param callerTimeout how long callers retry, which the logs don't show. */
+    explicit JobTrace(Millis callerTimeout = Millis(3000)) : m_callerTimeout(callerTimeout) {}
 
+    /** Adds a line. */
     void take(LogLine line);
-    /** Orders what was taken and tells the stories, in the order of the first requests. */
+    /**
+     * Sorts the added lines by time and returns the timelines in the order of the first requests.
+     * Jobs without a logged request are omitted. To be called once.
+     */
     std::vector<JobStory> tell();
 
 private:
+    /** State of one task while the lines are read. */
     struct Task {
-        Millis m_waitsSince{0};
-        std::optional<Cause> m_waitsFor;
+        Millis m_delayedSince{0};
+        /** Cause of the current wait; empty while a run is active. */
+        std::optional<Cause> m_delayCause;
         std::optional<Millis> m_placedAt;
         std::string m_stopReason;
         std::array<Millis, CAUSES> m_lost{};
     };
+    /** State of one job while the lines are read. */
     struct Entry {
         JobStory m_story;
+        /** Time at which a leader read the job. */
         std::optional<Millis> m_knownAt;
         std::map<std::string, Task> m_tasks;
     };
 
-    void follow(const LogLine& line);
-    void followAnswer(const LogLine& line);
-    void followKnown(const LogLine& line);
-    void followPlaced(const LogLine& line);
-    void followStopped(const LogLine& line);
-    void followEnd(const LogLine& line, Cause cause);
-    void countNeedless();
-    void followReach(const LogLine& line);
+    void handleLine(const LogLine& line);
+    void handleAnswer(const LogLine& line);
+    void handleKnown(const LogLine& line);
+    void handlePlaced(const LogLine& line);
+    void handleStopped(const LogLine& line);
+    void handleRunEnd(const LogLine& line, Cause cause);
+    void countAvoidableRefusals();
+    void updateReachability(const LogLine& line);
     bool wasOutOfReach(const JobStory& story) const;
     Entry& getEntry(std::string_view id);
 
-    /** A time in which a gateway reached the store. */
-    struct Reach {
+    /** Interval in which a gateway reached the store. */
+    struct ReachableInterval {
         Millis m_from{0};
-        /** Empty while it lasts. */
+        /** Empty if the logs show no end. */
         std::optional<Millis> m_until;
     };
 
-    const Millis m_patience;
-    /** By gateway, in the order of time. */
-    std::map<std::string, std::vector<Reach>> m_reaches;
+    const Millis m_callerTimeout;
+    /** Intervals by gateway, in order of time. */
+    std::map<std::string, std::vector<ReachableInterval>> m_reachableIntervals;
+    /** Time of the last line of each gateway. */
     std::map<std::string, Millis> m_lastLines;
     std::vector<LogLine> m_lines;
     std::map<std::string, Entry, std::less<>> m_entries;
--- a/libs/trace/include/pierbank/trace/LogLine.h
+++ b/libs/trace/include/pierbank/trace/LogLine.h
@@ -12,24 +12,25 @@
 namespace pierbank {
 
 /**
- * One line of a daemon's log: `[...] [NODE] TIME SEVERITY COMPONENT EVENT KEY=VALUE...`. What a log
- * collector puts before the time is passed over, but for the last word, which names the node.
+ * One line of a daemon's log: `[...] [NODE] TIME SEVERITY COMPONENT EVENT KEY=VALUE...`. Words that
+ * a log collector adds before the time are ignored, except for the last one, which names the node.
  */
 struct LogLine {
-    /** Since 1970. */
+    /** Wall time since 1970. */
     Millis m_at{0};
     std::string m_node;
     std::string m_component;
     std::string m_event;
     std::map<std::string, std::string, std::less<>> m_fields;
 
-    /** Empty for a line of anything else. */
+    /** Parses a line; returns nothing for text in another format. */
     static std::optional<LogLine> parse(std::string_view text);
 
-    /** Empty when there is no such field. */
+    /** Returns a field's value; empty if the line has no such field. */
     std::string_view get(std::string_view key) const;
-    /** Zero when there is no such field, or no number in it. */
+    /** Returns a field as a number of milliseconds; zero if the field is missing or no number. */
     Millis getMillis(std::string_view key) const;
+    /** Returns whether the line logs this event of this component. */
     bool is(std::string_view component, std::string_view event) const {
         return m_component == component && m_event == event;
     }
--- a/libs/trace/src/JobTrace.cpp
+++ b/libs/trace/src/JobTrace.cpp
@@ -9,17 +9,18 @@
 namespace {
 
 constexpr double MILLIS_PER_SECOND = 1000.0;
-/** A job accepted elsewhere so shortly before or after shows that the store was there. */
-constexpr Millis SAME_MOMENT{100};
+/** A job that another gateway accepted within this time shows that the store was reachable. */
+constexpr Millis MAX_ACCEPTANCE_GAP{100};
 
-/** Less makes no job late: commits, orders and starts take some 30 ms together. */
-constexpr Millis NOTABLE{200};
+/** Shorter losses are no cause of lateness: commit, order and start take about 30 ms together. */
+constexpr Millis MIN_NOTABLE_DELAY{200};
 
-/** Refused or not known, though nothing was wrong with the request. */
+/** Returns whether the status is 503 or 504, for which the request was not at fault. */
 bool isUnavailable(const LogLine& line) {
     return line.get("status") == "503" || line.get("status") == "504";
 }
 
+/** Returns the id of the job that a line is about, by its job or task; empty for other lines. */
 std::string_view getJobOf(const LogLine& line) {
     const std::string_view job = line.get("job");
     if (!job.empty()) {
@@ -48,8 +49,9 @@
         return Cause::NOT_TAKEN;
     }
     const auto end = m_lost.begin() + static_cast<std::ptrdiff_t>(Cause::WORK);
-    const auto most = std::max_element(m_lost.begin(), end);
-    return *most >= NOTABLE ? static_cast<Cause>(most - m_lost.begin()) : Cause::WORK;
+    const auto longest = std::max_element(m_lost.begin(), end);
+    return *longest >= MIN_NOTABLE_DELAY ? static_cast<Cause>(longest - m_lost.begin())
+                                         : Cause::WORK;
 }
 
 void JobTrace::take(LogLine line) {
@@ -60,10 +62,10 @@
     std::stable_sort(m_lines.begin(), m_lines.end(),
                      [](const LogLine& a, const LogLine& b) { return a.m_at < b.m_at; });
     for (const LogLine& line : m_lines) {
-        followReach(line);
-        follow(line);
+        updateReachability(line);
+        handleLine(line);
     }
-    countNeedless();
+    countAvoidableRefusals();
     std::vector<JobStory> stories;
     for (auto& [id, entry] : m_entries) {
         for (const auto& [name, task] : entry.m_tasks) {
@@ -89,24 +91,24 @@
     return entry;
 }
 
-void JobTrace::follow(const LogLine& line) {
+void JobTrace::handleLine(const LogLine& line) {
     if (getJobOf(line).empty()) {
         return;
     }
     if (line.is("intake", "answered")) {
-        followAnswer(line);
+        handleAnswer(line);
     } else if (line.is("jobs", "known")) {
-        followKnown(line);
+        handleKnown(line);
     } else if (line.is("jobs", "waits")) {
         getEntry(getJobOf(line)).m_story.m_waitedFor.emplace_back(line.get("for"));
     } else if (line.is("jobs", "placed")) {
-        followPlaced(line);
+        handlePlaced(line);
     } else if (line.is("jobs", "stopped")) {
-        followStopped(line);
+        handleStopped(line);
     } else if (line.is("jobs", "run-lost") || line.is("jobs", "run-absent")) {
-        followEnd(line, Cause::RUN_LOST);
+        handleRunEnd(line, Cause::RUN_LOST);
     } else if (line.is("jobs", "run-ended")) {
-        followEnd(line, Cause::RUN_FAILED);
+        handleRunEnd(line, Cause::RUN_FAILED);
     } else if (line.is("jobs", "over") || line.is("jobs", "withdrawn")) {
         JobStory& story = getEntry(getJobOf(line)).m_story;
         story.m_phase = line.m_event == "over" ? line.get("phase") : "cancelled";
@@ -114,18 +116,18 @@
     }
 }
 
-/** A gateway that starts has lost what it was in reach of before. */
-void JobTrace::followReach(const LogLine& line) {
+/** Tracks when each gateway reached the store; a gateway that starts is not connected yet. */
+void JobTrace::updateReachability(const LogLine& line) {
     m_lastLines[line.m_node] = line.m_at;
-    std::vector<Reach>& reaches = m_reaches[line.m_node];
+    std::vector<ReachableInterval>& intervals = m_reachableIntervals[line.m_node];
     const bool isLost = line.is("configuration", "store-lost") || line.is("gateway", "started");
     const bool isReached =
             line.is("configuration", "store-regained") || line.is("configuration", "in-force");
-    const bool isOpen = !reaches.empty() && !reaches.back().m_until.has_value();
+    const bool isOpen = !intervals.empty() && !intervals.back().m_until.has_value();
     if (isLost && isOpen) {
-        reaches.back().m_until = line.m_at;
+        intervals.back().m_until = line.m_at;
     } else if (isReached && !isOpen) {
-        reaches.push_back({line.m_at, std::nullopt});
+        intervals.push_back({line.m_at, std::nullopt});
     }
 }
 
@@ -134,12 +136,13 @@
         return false;
     }
     const Millis from = *story.m_firstAskedAt;
-    const Millis until = from + m_patience;
-    for (const auto& [node, reaches] : m_reaches) {
-        for (const Reach& reach : reaches) {
-            // A gateway that says nothing more may be gone.
-            const Millis reachedUntil = reach.m_until.value_or(m_lastLines.at(node));
-            if (reach.m_from < until && reachedUntil > from) {
+    const Millis until = from + m_callerTimeout;
+    for (const auto& [node, intervals] : m_reachableIntervals) {
+        for (const ReachableInterval& interval : intervals) {
+            // A gateway that logs nothing more may have stopped, so its last line ends the
+            // interval.
+            const Millis intervalEnd = interval.m_until.value_or(m_lastLines.at(node));
+            if (interval.m_from < until && intervalEnd > from) {
                 return false;
             }
         }
@@ -147,13 +150,13 @@
     return true;
 }
 
-void JobTrace::followAnswer(const LogLine& line) {
+void JobTrace::handleAnswer(const LogLine& line) {
     if (line.get("method") != "POST") {
         return;
     }
     JobStory& story = getEntry(getJobOf(line)).m_story;
-    const Millis askedAt = line.m_at - line.getMillis("took_ms");
-    story.m_firstAskedAt = std::min(story.m_firstAskedAt.value_or(askedAt), askedAt);
+    const Millis requestedAt = line.m_at - line.getMillis("took_ms");
+    story.m_firstAskedAt = std::min(story.m_firstAskedAt.value_or(requestedAt), requestedAt);
     if (!line.get("organisation").empty()) {
         story.m_organisation = line.get("organisation");
     }
@@ -173,35 +176,36 @@
     ++story.m_refusals[std::string(line.get("status")) + " " + std::string(line.get("reason"))];
 }
 
-void JobTrace::followKnown(const LogLine& line) {
+void JobTrace::handleKnown(const LogLine& line) {
     Entry& entry = getEntry(getJobOf(line));
     entry.m_story.m_priority = line.get("priority");
     entry.m_story.m_objective = line.getMillis("objective_ms");
     const bool isPlaced = !entry.m_tasks.empty();
     if (!isPlaced) {
-        // A later leader hears of it anew.
+        // After a take-over, the new leader logs the job again.
         entry.m_knownAt = line.m_at;
         entry.m_story.m_lost.at(static_cast<std::size_t>(Cause::LEADER)) = line.getMillis("age_ms");
     }
 }
 
-void JobTrace::followPlaced(const LogLine& line) {
+void JobTrace::handlePlaced(const LogLine& line) {
     Entry& entry = getEntry(getJobOf(line));
     const auto [found, isFirst] = entry.m_tasks.try_emplace(std::string(line.get("task")));
     Task& task = found->second;
     if (isFirst) {
-        task.m_waitsSince = entry.m_knownAt.value_or(line.m_at);
-        task.m_waitsFor = Cause::ROOM;
+        task.m_delayedSince = entry.m_knownAt.value_or(line.m_at);
+        task.m_delayCause = Cause::ROOM;
     }
-    if (task.m_waitsFor.has_value()) {
-        task.m_lost.at(static_cast<std::size_t>(*task.m_waitsFor)) += line.m_at - task.m_waitsSince;
-        task.m_waitsFor.reset();
+    if (task.m_delayCause.has_value()) {
+        task.m_lost.at(static_cast<std::size_t>(*task.m_delayCause)) +=
+                line.m_at - task.m_delayedSince;
+        task.m_delayCause.reset();
     }
     task.m_placedAt = line.m_at;
     task.m_stopReason.clear();
 }
 
-void JobTrace::followStopped(const LogLine& line) {
+void JobTrace::handleStopped(const LogLine& line) {
     Entry& entry = getEntry(getJobOf(line));
     Task& task = entry.m_tasks[std::string(line.get("task"))];
     task.m_stopReason = line.get("why");
@@ -213,8 +217,8 @@
     }
 }
 
-/** The run's whole time, and the wait for the next one, go to what ended it. */
-void JobTrace::followEnd(const LogLine& line, Cause cause) {
+/** Attributes the run's time, and the wait for the next placement, to the cause of its end. */
+void JobTrace::handleRunEnd(const LogLine& line, Cause cause) {
     Entry& entry = getEntry(getJobOf(line));
     Task& task = entry.m_tasks[std::string(line.get("task"))];
     if (!task.m_placedAt.has_value() || line.get("how") == "done") {
@@ -230,12 +234,12 @@
     }
     task.m_lost.at(static_cast<std::size_t>(cause)) += line.m_at - *task.m_placedAt;
     task.m_placedAt.reset();
-    task.m_waitsSince = line.m_at;
-    task.m_waitsFor = cause;
+    task.m_delayedSince = line.m_at;
+    task.m_delayCause = cause;
 }
 
-/** Refusals by one gateway while another one accepted a job. */
-void JobTrace::countNeedless() {
+/** Counts refusals by one gateway at about the time when another gateway accepted a job. */
+void JobTrace::countAvoidableRefusals() {
     std::vector<const LogLine*> accepted;
     for (const LogLine& line : m_lines) {
         if (line.is("intake", "answered") && line.get("method") == "POST" &&
@@ -249,12 +253,12 @@
         if (!isRefusal || getJobOf(line).empty()) {
             continue;
         }
-        const bool isNeedless =
+        const bool isAvoidable =
                 std::any_of(accepted.begin(), accepted.end(), [&](const LogLine* other) {
                     return other->m_node != line.m_node &&
-                           std::chrono::abs(other->m_at - line.m_at) <= SAME_MOMENT;
+                           std::chrono::abs(other->m_at - line.m_at) <= MAX_ACCEPTANCE_GAP;
                 });
-        getEntry(getJobOf(line)).m_story.m_neededNot += isNeedless ? 1 : 0;
+        getEntry(getJobOf(line)).m_story.m_neededNot += isAvoidable ? 1 : 0;
     }
 }
 
--- a/libs/trace/src/LogLine.cpp
+++ b/libs/trace/src/LogLine.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/** Takes the next word off a text; a quoted value with its blanks is one. */
-std::string takeWord(std::string_view& text) {
+/** Removes the next word from a text and returns it; a quoted part may contain blanks. */
+std::string extractWord(std::string_view& text) {
     text.remove_prefix(std::min(text.find_first_not_of(' '), text.size()));
     std::string word;
     bool isQuoted = false;
@@ -44,9 +44,9 @@
     using namespace std::chrono;
     const sys_days date =
             std::chrono::year(year) / std::chrono::month(month) / std::chrono::day(day);
-    const auto inMinute = static_cast<std::int64_t>(second * 1000);
+    const auto millisInMinute = static_cast<std::int64_t>(second * 1000);
     return duration_cast<Millis>(date.time_since_epoch()) + hours(hour) + minutes(minute) +
-           Millis(inMinute);
+           Millis(millisInMinute);
 }
 
 bool isSeverity(const std::string& word) {
@@ -58,14 +58,14 @@
 std::optional<LogLine> LogLine::parse(std::string_view text) {
     LogLine line;
     std::optional<Millis> time;
-    // A collector puts a few words of its own before the line.
-    constexpr int MOST_BEFORE = 6;
-    for (int i = 0; i < MOST_BEFORE && !text.empty(); ++i) {
-        std::string word = takeWord(text);
+    // Bounds the words that a log collector adds, with the time and the severity.
+    constexpr int MAX_WORDS = 6;
+    for (int i = 0; i < MAX_WORDS && !text.empty(); ++i) {
+        std::string word = extractWord(text);
         if (time.has_value() && isSeverity(word)) {
             line.m_at = *time;
-            line.m_component = takeWord(text);
-            line.m_event = takeWord(text);
+            line.m_component = extractWord(text);
+            line.m_event = extractWord(text);
             break;
         }
         if (!time.has_value()) {
@@ -79,7 +79,7 @@
         return std::nullopt;
     }
     while (!text.empty()) {
-        const std::string word = takeWord(text);
+        const std::string word = extractWord(text);
         const std::size_t equals = word.find('=');
         if (equals != std::string::npos) {
             line.m_fields[word.substr(0, equals)] = word.substr(equals + 1);
--- a/libs/trace/test/JobTraceTest.cpp
+++ b/libs/trace/test/JobTraceTest.cpp
@@ -6,7 +6,7 @@
 namespace pierbank {
 namespace {
 
-TEST(LogLineTest, IsReadWithWhatACollectorPutsBeforeIt) {
+TEST(LogLineTest, IsParsedWithTheWordsOfACollectorBeforeIt) {
     const auto line = LogLine::parse(
             "  19.1533 edge-1 2026-06-06T04:48:24.153300 warning intake answered job=5acd "
             "method=POST "
@@ -20,14 +20,14 @@
     EXPECT_EQ(line->m_at.count() % 60'000, 24'153);
 }
 
-TEST(LogLineTest, IsEmptyForAnythingElse) {
+TEST(LogLineTest, IsNotParsedFromOtherText) {
     for (const char* text : {"", "core dumped", "2026-06-06 info", "2026-06-06T04:48:24 info",
                              "not served, last try '503': 2; the first:"}) {
         EXPECT_FALSE(LogLine::parse(text).has_value()) << text;
     }
 }
 
-/** Lines are written with the second and the millisecond of one minute. */
+/** Writes log lines, with times in milliseconds within one minute. */
 class JobTraceTest : public ::testing::Test {
 protected:
     void log(int millis, const std::string& node, const std::string& rest) {
@@ -54,7 +54,7 @@
     JobTrace m_trace;
 };
 
-TEST_F(JobTraceTest, TellsWhatAnEvictionCost) {
+TEST_F(JobTraceTest, AttributesTheTimeOfAPreemption) {
     accept(1000);
     log(1500, "g1", "jobs placed task=a.0.0.0 run=1 host=h1");
     log(2500, "g1",
@@ -72,7 +72,7 @@
     EXPECT_DOUBLE_EQ(story.m_workLost, 20.0);
 }
 
-TEST_F(JobTraceTest, TellsOnWhichHostsAFailedJobRan) {
+TEST_F(JobTraceTest, ListsTheHostsOfAFailedJob) {
     accept(1000);
     log(1000, "g1", "jobs placed task=a.0.0.0 run=1 host=h1");
     log(1100, "g1", "jobs run-ended task=a.0.0.0 run=1 host=h1 how=failed");
@@ -85,7 +85,7 @@
     EXPECT_EQ(story.getCause(), Cause::RUN_FAILED);
 }
 
-TEST_F(JobTraceTest, TellsThatAnotherGatewayCouldHaveTakenAJob) {
+TEST_F(JobTraceTest, CountsRefusalsWhileAnotherGatewayAccepted) {
     log(1000, "g1", "intake answered job=a method=POST status=503 took_ms=0 reason=lost");
     log(2000, "g1", "intake answered job=a method=POST status=503 took_ms=0 reason=lost");
     accept(2050, "g2", "b");
@@ -96,10 +96,10 @@
     EXPECT_EQ(stories[0].m_neededNot, 1U);
 }
 
-TEST_F(JobTraceTest, TellsWhetherAnyGatewayReachedTheStoreInACallersTime) {
+TEST_F(JobTraceTest, DetectsThatNoGatewayReachedTheStoreWhileTheCallerRetried) {
     log(100, "g1", "configuration in-force version=1");
     log(100, "g2", "configuration in-force version=1");
-    // It was replaced, and says nothing more.
+    // This gateway was replaced and logs nothing more.
     log(200, "g3", "configuration in-force version=1");
     log(1000, "g1", "configuration store-lost reason=x");
     log(1100, "g2", "configuration store-lost reason=x");
@@ -115,7 +115,7 @@
               (std::map<std::string, bool>{{"early", false}, {"lost", true}, {"late", false}}));
 }
 
-TEST_F(JobTraceTest, TellsTheQueueAndPriorityOfAJobThatNobodyTook) {
+TEST_F(JobTraceTest, ReportsTheQueueAndPriorityOfAJobThatWasNotAccepted) {
     log(1000, "g1",
         "intake answered job=a method=POST status=503 queue=quick priority=0 organisation=\"\" "
         "took_ms=0 reason=lost");
@@ -124,7 +124,7 @@
     EXPECT_EQ(story.m_priority, "0");
 }
 
-TEST_F(JobTraceTest, TellsWhatAnUrgentJobWaitedFor) {
+TEST_F(JobTraceTest, ListsWhatAnUrgentJobWaitedFor) {
     accept(1000);
     log(1010, "g1", "jobs waits job=a for=ends guaranteed=no loss_core_s=0 age_ms=10");
     log(1400, "g1", "jobs waits job=a for=stops guaranteed=no loss_core_s=30 age_ms=400");
--- a/tools/command/AnswerPrinter.h
+++ b/tools/command/AnswerPrinter.h
@@ -6,10 +6,13 @@
 
 namespace pierbank {
 
-/** Exit statuses of the command line. */
+/** Exit status of the command line. */
 enum class CommandExit { DONE = 0, REFUSED = 1, USAGE = 2, UNREACHABLE = 3 };
 
-/** Prints an answer for people, or as it came for programs. @return what it means. */
+/**
+ * Prints the answer of a gateway, as text or, with `asJson`, as the JSON that was received.
+ * @return the exit status that corresponds to the answer.
+ */
 CommandExit printAnswer(const HttpResult& answer, bool asJson);
 
 }  // namespace pierbank
--- a/tools/command/GatewayClient.cpp
+++ b/tools/command/GatewayClient.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** Longer than the gateway's own patience with a statement, forwarding included. */
+/** Exceeds the timeout of a gateway for a statement, including the forwarding to the leader. */
 constexpr Millis STATEMENT_TIMEOUT{10'000};
 
 }  // namespace
--- a/tools/command/GatewayClient.h
+++ b/tools/command/GatewayClient.h
@@ -10,12 +10,16 @@
 
 namespace pierbank {
 
-/** Sends statements to a gateway and waits for the answers. */
+/** Client of a gateway's operator interface. */
 class GatewayClient {
 public:
+    /** @param token bearer token of the operator. */
     GatewayClient(Address gateway, std::string token);
 
-    /** @return status zero when no whole answer came. */
+    /**
+     * Sends a statement and blocks until the answer has arrived.
+     * @return a result with the status zero when no complete answer was received.
+     */
     HttpResult execute(std::string_view statement);
 
 private:
--- a/tools/command/main.cpp
+++ b/tools/command/main.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// pierbank: the operators' command line.
+// pierbank: command line for operators' statements.
 #include <histedit.h>
 #include <unistd.h>
 
@@ -40,9 +40,9 @@
 
 std::optional<CommandOptions> readOptions(int argc, char** argv, CommandExit& exit) {
     CommandOptions options;
-    po::options_description shown("pierbank [OPTIONS] ['STATEMENT']");
-    shown.add_options()("gateway", po::value(&options.m_gateway),
-                        "IP:PORT of a gateway's operators' listener (or PIERBANK_GATEWAY)")(
+    po::options_description visible("pierbank [OPTIONS] ['STATEMENT']");
+    visible.add_options()("gateway", po::value(&options.m_gateway),
+                          "IP:PORT of a gateway's operators' listener (or PIERBANK_GATEWAY)")(
             "token", po::value(&options.m_token), "the operator's token (or PIERBANK_TOKEN)")(
             "settings", po::value(&options.m_settingsPath),
             "INI file with [client] gateway and token (or PIERBANK_SETTINGS)")(
@@ -50,7 +50,7 @@
             "json", po::bool_switch(&options.m_asJson), "answers as JSON, one a line")(
             "help", "this text")("version", "the version");
     po::options_description all;
-    all.add(shown).add_options()("words", po::value(&options.m_words));
+    all.add(visible).add_options()("words", po::value(&options.m_words));
     po::positional_options_description positional;
     positional.add("words", -1);
     po::variables_map values;
@@ -65,7 +65,7 @@
     }
     exit = CommandExit::DONE;
     if (values.count("help") != 0) {
-        std::cout << shown;
+        std::cout << visible;
         return std::nullopt;
     }
     if (values.count("version") != 0) {
@@ -75,8 +75,11 @@
     return options;
 }
 
-/** Options win over the environment, and the environment over the settings file. */
-void complete(CommandOptions& options, Findings& findings) {
+/**
+ * Completes the options from the environment and the settings file. Options take precedence over
+ * the environment, and the environment over the settings file.
+ */
+void applyDefaults(CommandOptions& options, Findings& findings) {
     if (options.m_gateway.empty()) {
         options.m_gateway = getEnvironment("PIERBANK_GATEWAY");
     }
@@ -100,6 +103,7 @@
     file->reportUnknownKeys();
 }
 
+/** Executes the statement on each line. Returns the worst exit status. */
 CommandExit runLines(GatewayClient& client, std::istream& input, bool asJson) {
     CommandExit worst = CommandExit::DONE;
     std::string line;
@@ -118,6 +122,7 @@
     return prompt;
 }
 
+/** Executes statements interactively. Returns the exit status of the last one. */
 CommandExit runPrompt(GatewayClient& client, bool asJson) {
     constexpr int HISTORY_LINES = 500;
     EditLine* editor = el_init("pierbank", stdin, stdout, stderr);
@@ -178,7 +183,7 @@
         return toStatus(exit);
     }
     Findings findings;
-    complete(*options, findings);
+    applyDefaults(*options, findings);
     const auto gateway = Address::parse(options->m_gateway);
     if (!gateway.has_value()) {
         findings.add("gateway", "`" + options->m_gateway + "` is not IP:PORT; see --help");
--- a/tools/common/DaemonMain.h
+++ b/tools/common/DaemonMain.h
@@ -13,18 +13,21 @@
 
 namespace pierbank {
 
-/** Exit statuses of the daemons. */
+/** Exit status of a daemon. */
 inline constexpr int EXIT_DONE = 0;
 inline constexpr int EXIT_FAILED = 1;
 inline constexpr int EXIT_USAGE = 2;
 
-/** Command line of a daemon. */
+/** Command line options of a daemon. */
 struct DaemonOptions {
     std::string m_settingsPath;
-    bool m_isCheck = false;
+    bool m_checksOnly = false;
 };
 
-/** Reads the command line; sets `exitStatus` when the program has nothing more to do. */
+/**
+ * Parses the command line. Returns an empty value and sets `exitStatus` when the program has to
+ * exit immediately.
+ */
 inline std::optional<DaemonOptions> readDaemonOptions(int argc, char** argv,
                                                       const std::string& name, int& exitStatus) {
     namespace po = boost::program_options;
@@ -32,7 +35,7 @@
     po::options_description description(name + " --settings FILE");
     description.add_options()("settings", po::value(&options.m_settingsPath),
                               "INI file with the settings")(
-            "check", po::bool_switch(&options.m_isCheck), "only check the settings")(
+            "check", po::bool_switch(&options.m_checksOnly), "only check the settings")(
             "help", "this text")("version", "the version");
     po::variables_map values;
     try {
@@ -61,8 +64,8 @@
 }
 
 /**
- * What a changed settings file brings without a restart: the log level. Anything else that is
- * wrong in it is logged, and what was read at the start stays in force.
+ * Reloads the settings file. Only a new log level takes effect without a restart. If the file has
+ * any error, the error is logged and the previous log level remains in force.
  */
 template <typename Settings>
 void reloadSettings(const DaemonOptions& options, Settings (*readSettings)(SettingsFile&)) {
@@ -81,8 +84,10 @@
 }
 
 /**
- * The main() of a daemon: command line, settings with all their findings, log level, then `run`.
- * @param readSettings reads a `Settings` from a SettingsFile; it has a member `m_logLevel`.
+ * Implements main() of a daemon: parses the command line, reads the settings and reports all their
+ * errors, sets the log level, and calls `run`.
+ * @param readSettings reads a `Settings`, which must have a member `m_logLevel`, from a file.
+ * @return the exit status.
  */
 template <typename Settings>
 int runDaemon(int argc, char** argv, const std::string& name,
@@ -103,7 +108,7 @@
         std::cerr << findings.toText();
         return EXIT_USAGE;
     }
-    if (options->m_isCheck) {
+    if (options->m_checksOnly) {
         std::cout << options->m_settingsPath << ": good\n";
         return EXIT_DONE;
     }
--- a/tools/gateway/main.cpp
+++ b/tools/gateway/main.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// pierbank-gateway: on each entry host of the platform.
+// pierbank-gateway: runs on each host of the platform that receives callers' requests.
 #include <csignal>
 
 #include "DaemonMain.h"
@@ -30,11 +30,11 @@
         std::cerr << "pierbank-gateway: " << reason << "\n";
         return EXIT_USAGE;
     }
-    const auto leave = [&] {
-        gateway.leave([&loop] { loop.quit(); });
+    const auto stop = [&] {
+        gateway.shutDown([&loop] { loop.quit(); });
     };
-    loop.onSignal(SIGTERM, leave);
-    loop.onSignal(SIGINT, leave);
+    loop.onSignal(SIGTERM, stop);
+    loop.onSignal(SIGINT, stop);
     loop.onSignal(SIGHUP, [&options] { reloadSettings(options, &readGatewaySettings); });
     loop.run();
     logEvent(Severity::INFO, "gateway", "stopped", {});
--- a/tools/sidecar/main.cpp
+++ b/tools/sidecar/main.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// pierbank-sidecar: on each worker's host of the platform.
+// pierbank-sidecar: runs beside the worker on each host of the platform.
 #include <csignal>
 
 #include "DaemonMain.h"
@@ -27,12 +27,12 @@
         std::cerr << "pierbank-sidecar: " << reason << "\n";
         return EXIT_USAGE;
     }
-    // The worker's runs go on without the sidecar until the next one comes.
-    const auto leave = [&loop] {
+    // The runs of the worker continue without the sidecar until it is restarted.
+    const auto stop = [&loop] {
         loop.quit();
     };
-    loop.onSignal(SIGTERM, leave);
-    loop.onSignal(SIGINT, leave);
+    loop.onSignal(SIGTERM, stop);
+    loop.onSignal(SIGINT, stop);
     loop.onSignal(SIGHUP, [&options] { reloadSettings(options, &readSidecarSettings); });
     loop.run();
     logEvent(Severity::INFO, "sidecar", "stopped", {});
--- a/tools/trace/main.cpp
+++ b/tools/trace/main.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// pierbank-trace: reads gateways' logs and says what became of each job and where its time went.
+// pierbank-trace: reports the outcome and the delays of each job from the logs of gateways.
 #include <boost/program_options.hpp>
 #include <cstdio>
 #include <cstdlib>
@@ -21,21 +21,22 @@
     std::vector<std::string> m_files;
     std::string m_job;
     bool m_onlyBad = false;
-    bool m_onlySum = false;
-    std::int64_t m_patienceMs = 3000;
+    bool m_onlyTotals = false;
+    std::int64_t m_callerTimeoutMs = 3000;
 };
 
-/** What the table says of one cause. */
-struct CauseLine {
+/** Row of the table of causes: numbers of jobs and the time that they lost. */
+struct CauseTotals {
     std::uint32_t m_late = 0;
     std::uint32_t m_failed = 0;
-    std::uint32_t m_notTaken = 0;
+    std::uint32_t m_notAccepted = 0;
     Millis m_lost{0};
 };
 
+/** Returns whether the job was late, failed or not accepted. */
 bool isBad(const JobStory& story) {
-    const bool isNotTaken = !story.m_acceptedAt.has_value() && story.m_isTurnedAway;
-    return isNotTaken || story.m_phase == "failed" || story.isLate();
+    const bool isNotAccepted = !story.m_acceptedAt.has_value() && story.m_isTurnedAway;
+    return isNotAccepted || story.m_phase == "failed" || story.isLate();
 }
 
 void printStory(const JobStory& story) {
@@ -58,8 +59,8 @@
     if (story.m_evictions > 0) {
         std::printf(" evictions=%u work_lost_core_s=%.1f", story.m_evictions, story.m_workLost);
     }
-    for (const std::string& what : story.m_waitedFor) {
-        std::printf(" waited_for=%s", what.c_str());
+    for (const std::string& awaited : story.m_waitedFor) {
+        std::printf(" waited_for=%s", awaited.c_str());
     }
     for (const std::string& host : story.m_failedOn) {
         std::printf(" failed_on=%s", host.c_str());
@@ -76,24 +77,24 @@
     std::printf("\n");
 }
 
-void printSum(const std::vector<JobStory>& stories) {
-    std::map<Cause, CauseLine> causes;
+void printTotals(const std::vector<JobStory>& stories) {
+    std::map<Cause, CauseTotals> causes;
     std::uint32_t evictions = 0;
-    double workLost = 0;
-    std::uint32_t neededNot = 0;
-    std::uint32_t outOfReach = 0;
+    double lostWork = 0;
+    std::uint32_t refusedWhileAccepted = 0;
+    std::uint32_t storeUnreachable = 0;
     for (const JobStory& story : stories) {
         evictions += story.m_evictions;
-        workLost += story.m_workLost;
-        neededNot += story.m_neededNot;
-        outOfReach += story.m_wasOutOfReach ? 1 : 0;
+        lostWork += story.m_workLost;
+        refusedWhileAccepted += story.m_neededNot;
+        storeUnreachable += story.m_wasOutOfReach ? 1 : 0;
         if (!isBad(story)) {
             continue;
         }
-        CauseLine& line = causes[story.getCause()];
+        CauseTotals& line = causes[story.getCause()];
         line.m_lost += story.m_lost.at(static_cast<std::size_t>(story.getCause()));
         if (!story.m_acceptedAt.has_value()) {
-            ++line.m_notTaken;
+            ++line.m_notAccepted;
         } else if (story.m_phase == "failed") {
             ++line.m_failed;
         } else {
@@ -103,7 +104,7 @@
     std::printf("%-12s %9s %7s %7s %9s\n", "cause", "not-taken", "failed", "late", "lost_s");
     for (const auto& [cause, line] : causes) {
         std::printf("%-12s %9u %7u %7u %9.1f\n", std::string(toText(cause)).c_str(),
-                    line.m_notTaken, line.m_failed, line.m_late,
+                    line.m_notAccepted, line.m_failed, line.m_late,
                     static_cast<double>(line.m_lost.count()) / 1000.0);
     }
     std::printf(
@@ -112,22 +113,22 @@
             "while another gateway took one: %u; jobs not taken since no gateway reached the store "
             "in "
             "their callers' whole time: %u\n",
-            stories.size(), evictions, workLost, neededNot, outOfReach);
+            stories.size(), evictions, lostWork, refusedWhileAccepted, storeUnreachable);
 }
 
 std::optional<TraceOptions> readOptions(int argc, char** argv, int& exit) {
     TraceOptions options;
-    po::options_description shown(
+    po::options_description visible(
             "pierbank-trace [OPTIONS] [LOG...]  (- or nothing: standard input)");
-    shown.add_options()("job", po::value(&options.m_job), "only the job with this id")(
+    visible.add_options()("job", po::value(&options.m_job), "only the job with this id")(
             "bad", po::bool_switch(&options.m_onlyBad),
             "only jobs that were late, failed or not taken")(
-            "patience-ms", po::value(&options.m_patienceMs),
-            "how long callers go on asking (3000)")("sum", po::bool_switch(&options.m_onlySum),
+            "patience-ms", po::value(&options.m_callerTimeoutMs),
+            "how long callers go on asking (3000)")("sum", po::bool_switch(&options.m_onlyTotals),
                                                     "only the table of causes")(
             "help", "this text")("version", "the version");
     po::options_description all;
-    all.add(shown).add_options()("logs", po::value(&options.m_files));
+    all.add(visible).add_options()("logs", po::value(&options.m_files));
     po::positional_options_description positional;
     positional.add("logs", -1);
     po::variables_map values;
@@ -136,13 +137,13 @@
                   values);
         po::notify(values);
     } catch (const po::error& error) {
-        std::cerr << "pierbank-trace: " << error.what() << "\n" << shown;
+        std::cerr << "pierbank-trace: " << error.what() << "\n" << visible;
         exit = EXIT_USAGE;
         return std::nullopt;
     }
     exit = EXIT_SUCCESS;
     if (values.count("help") != 0) {
-        std::cout << shown;
+        std::cout << visible;
         return std::nullopt;
     }
     if (values.count("version") != 0) {
@@ -174,14 +175,14 @@
     if (!options.has_value()) {
         return exit;
     }
-    // Each log is a fleet's of its own: ids of one don't mean jobs of another.
+    // Each log is traced separately, because the same job id in two logs means different jobs.
     std::vector<JobStory> stories;
     for (const std::string& name : options->m_files) {
         std::ifstream file;
         if (name != "-") {
             file.open(name);
         }
-        JobTrace trace{Millis(options->m_patienceMs)};
+        JobTrace trace{Millis(options->m_callerTimeoutMs)};
         if ((name != "-" && !file) || readLog(name == "-" ? std::cin : file, trace) == 0) {
             std::cerr << "pierbank-trace: " << name << ": no log of a gateway\n";
             return EXIT_USAGE;
@@ -191,13 +192,13 @@
         }
     }
     for (const JobStory& story : stories) {
-        const bool isAsked = options->m_job.empty() || story.m_id == options->m_job;
-        if (!options->m_onlySum && isAsked && (!options->m_onlyBad || isBad(story))) {
+        const bool isSelected = options->m_job.empty() || story.m_id == options->m_job;
+        if (!options->m_onlyTotals && isSelected && (!options->m_onlyBad || isBad(story))) {
             printStory(story);
         }
     }
     if (options->m_job.empty()) {
-        printSum(stories);
+        printTotals(stories);
     }
     return EXIT_SUCCESS;
 }
