--- a/libs/job/include/pierbank/job/TaskPlanner.h
+++ b/libs/job/include/pierbank/job/TaskPlanner.h
@@ -171,8 +171,7 @@
         ENDS,
         /** The runs that would have to be preempted are worth more than the unit. */
         CAPACITY,
-        /** No worker that the unit may use can free enough capacity, or preemption is not allowed.
-         */
+        /** No worker that the unit may use can free enough capacity, or preemption is disabled. */
         WORKERS,
     };
     /** Id of the job, owned by the job's record. */
@@ -240,9 +239,8 @@
     std::vector<PlanExplanation> m_explanations;
     /** Urgent jobs with waiting units; they refer to job ids of the input. */
     std::vector<UrgentWait> m_urgentWaits;
-    /** Number of units left unplaced; the passing of time alone may make a later pass place them.
-     */
-    std::size_t m_waitingUnits = 0;
+    /** Number of units left unplaced; later passes may place them because time has passed. */
+    std::size_t m_waiting = 0;
 };
 
 /**
@@ -288,9 +286,11 @@
 /** Returns the time from a job's acceptance, or an occurrence's due time, to its objective. */
 Millis getObjectiveSpan(const JobRecord& record);
 
-/** Returns the value of resources in cores; an accelerator counts as eight cores, as in the
- * platform's price list. */
-double getCoreEquivalent(const Resources& need);
+/**
+ * Returns the value of resources in cores. An accelerator counts as eight cores, as in the
+ * platform's price list.
+ */
+double getCores(const Resources& need);
 
 }  // namespace pierbank
 
--- a/libs/job/src/PlanningPass.h
+++ b/libs/job/src/PlanningPass.h
@@ -75,8 +75,7 @@
     std::vector<WorkerSlot> m_excludedSlots;
     /** Whether one of the tasks is suspected of crashing its worker. */
     bool m_isSuspect = false;
-    /** Whether the unit avoids workers that have a run of a suspect task when the unit is placed.
-     */
+    /** Whether the unit avoids workers that have a run of a suspect task at its placement. */
     bool m_avoidsSuspectRuns = false;
 
     const JobRecord& getRecord() const { return *m_waitingStep->m_record; }
@@ -349,8 +348,7 @@
     bool m_hasSuspectRuns = false;
     /** By job index: whether this pass has placed a run of the job. */
     std::vector<bool> m_hasPlacements;
-    /** By job index: whether the job had no active run at the start of the pass; computed lazily.
-     */
+    /** By job index: whether the job had no active run before the pass; computed on demand. */
     mutable std::vector<std::optional<bool>> m_wasIdle;
     /** Eligible workers by service and required label. */
     std::map<std::pair<std::string_view, std::string_view>, EligibleWorkers> m_eligible;
--- a/libs/job/src/PlanningPassOrder.cpp
+++ b/libs/job/src/PlanningPassOrder.cpp
@@ -153,7 +153,7 @@
     return step.m_objective - Millis(static_cast<std::int64_t>(advance));
 }
 
-/** The estimate counts only while there are reservations, which only shorter work may precede. */
+/** Includes the estimate only if there are reservations, which admit only work that ends before. */
 PlanningPass::UnitClass PlanningPass::getUnitClass(const WorkUnit& unit) {
     const StepSpec& spec = unit.getSpec();
     const Resources need = spec.getCapacityDemand();
