--- a/libs/job/include/pierbank/job/TaskPlanner.h
+++ b/libs/job/include/pierbank/job/TaskPlanner.h
@@ -240,7 +240,7 @@
     /** Urgent jobs with waiting units; they refer to job ids of the input. */
     std::vector<UrgentWait> m_urgentWaits;
     /** Number of units left unplaced; later passes may place them because time has passed. */
-    std::size_t m_waiting = 0;
+    std::size_t m_waitingUnits = 0;
 };
 
 /**
@@ -290,7 +290,7 @@
  * Returns the value of resources in cores. An accelerator counts as eight cores, as in the
  * platform's price list.
  */
-double getCores(const Resources& need);
+double getCoreEquivalent(const Resources& need);
 
 }  // namespace pierbank
 
