--- a/test/support/FakeTaskWorker.cpp
+++ b/test/support/FakeTaskWorker.cpp
@@ -14,24 +14,23 @@
 
 constexpr Millis LATENCY{1};
 constexpr Millis STEP{10};
-constexpr Millis LOST_ANSWER{700};
-/** The longest lease a worker takes (users' bound). */
-constexpr Millis MAX_HOLD{6000};
+constexpr Millis LOST_ANSWER_TIMEOUT{700};
+/** Maximum lease that a worker accepts, as the platform's contract states. */
+constexpr Millis MAX_LEASE{6000};
 
 }  // namespace
 
 FakeTaskWorker::FakeTaskWorker(EventLoop& loop, RunWitness& witness, std::string name)
         : m_loop(loop), m_witness(witness), m_name(std::move(name)) {
     restart();
-    tick();
+    endDueRuns();
 }
 
 Millis FakeTaskWorker::getClock() const {
     return m_loop.now() - m_clockOffset;
 }
 
-/** Also as a log line, among those of the processes under test. */
-void FakeTaskWorker::note(const char* what, const TaskKey& task, std::uint32_t run) {
+void FakeTaskWorker::recordRunEvent(const char* what, const TaskKey& task, std::uint32_t run) {
     logEvent(Severity::INFO, "worker", what,
              {{"name", m_name},
               {"task", task.toText()},
@@ -44,9 +43,8 @@
     m_journal.append(std::to_string(m_loop.now().count())).append("]");
 }
 
-/** A call that was left without an answer is carried out. */
-void FakeTaskWorker::noteLate(const char* call, const TaskKey& task, std::uint32_t run,
-                              const RunReply& reply) const {
+void FakeTaskWorker::logLateCall(const char* call, const TaskKey& task, std::uint32_t run,
+                                 const RunReply& reply) const {
     logEvent(Severity::INFO, "worker", "late-call",
              {{"name", m_name},
               {"call", call},
@@ -63,24 +61,24 @@
 
 void FakeTaskWorker::restart(RestartForm form) {
     for (const auto& [task, run] : m_runs) {
-        note("lost", task, run.m_number);
-        m_witness.noteStop(task, m_name);
+        recordRunEvent("lost", task, run.m_number);
+        m_witness.recordStop(task, m_name);
     }
     m_runs.clear();
-    m_barred.clear();
+    m_highestEndedRun.clear();
     m_ended.clear();
     m_fence = 0;
     m_nextEnd = 1;
     m_lastPersisted = 0;
-    m_lapsedThrough = 0;
+    m_lastLapsedEnd = 0;
     m_endEvents.clear();
     m_clockOffset = m_loop.now() - Millis(1000);
     m_until = Millis(0);
-    m_beats = 0;
+    m_heartbeatCount = 0;
     ++m_incarnations;
     logEvent(Severity::INFO, "worker", "restarted",
              {{"name", m_name}, {"at_ms", std::to_string(m_loop.now().count())}});
-    // Two starts within one millisecond are two starts.
+    // Two incarnations that start within one millisecond need different start times.
     const auto wallNow = static_cast<std::uint64_t>((m_loop.wallNow() + m_wallClockError).count());
     m_processStartedAt = wallNow == m_processStartedAt ? wallNow + 1 : wallNow;
     if (form == RestartForm::NEW_ID || m_id.empty()) {
@@ -91,7 +89,7 @@
 void FakeTaskWorker::crash() {
     restart();
     m_isDown = true;
-    m_loop.callLater(m_awayAfterCrash, [this, alive = std::weak_ptr(m_isAlive)] {
+    m_loop.callLater(m_restartDelay, [this, alive = std::weak_ptr(m_isAlive)] {
         if (!alive.expired()) {
             m_isDown = false;
         }
@@ -101,7 +99,7 @@
 void FakeTaskWorker::suspend() {
     m_suspendedAt = m_loop.now();
     for (const auto& [task, run] : m_runs) {
-        m_witness.noteStop(task, m_name);
+        m_witness.recordStop(task, m_name);
     }
 }
 
@@ -135,7 +133,7 @@
     return {WorkerStatus::OK, ""};
 }
 
-/** `x10` or `x10/2/3000`. */
+/** The class comment describes the payloads. */
 FakeTaskWorker::Run FakeTaskWorker::makeRun(const StartCall& start) const {
     Run run;
     run.m_number = start.m_run;
@@ -165,61 +163,64 @@
     run.m_startedAt = m_loop.now();
     run.m_endsAt = m_loop.now() + (lasts ? FOR_EVER : length * m_slowness);
     if (!start.m_checkpoint.empty()) {
-        // What was done before, in milliseconds.
+        // A checkpoint is the work already done, in milliseconds.
         run.m_endsAt -= Millis(std::atoi(start.m_checkpoint.c_str()));
     }
     return run;
 }
 
-RunReply FakeTaskWorker::begin(const WorkerCall& call, const StartCall& start) {
+RunReply FakeTaskWorker::startRun(const WorkerCall& call, const StartCall& start) {
     const RunReply checked = checkCall(call);
     if (checked.m_status != WorkerStatus::OK) {
         return checked;
     }
     if (!m_refusal.empty()) {
-        ++m_refused;
+        ++m_refusalCount;
         return {WorkerStatus::REFUSED, m_refusal};
     }
     if (start.m_until <= getClock()) {
         return {WorkerStatus::REFUSED, "late"};
     }
-    extend(start.m_until);
+    extendLease(start.m_until);
     const auto running = m_runs.find(start.m_task);
     if (running != m_runs.end() && running->second.m_number == start.m_run) {
         return {WorkerStatus::OK, ""};
     }
-    if (m_barred.count(start.m_task) != 0 && start.m_run <= m_barred[start.m_task]) {
+    if (m_highestEndedRun.count(start.m_task) != 0 &&
+        start.m_run <= m_highestEndedRun[start.m_task]) {
         return {WorkerStatus::REFUSED, "old"};
     }
-    if (m_wantsTickets && start.m_ticket != "ticket-" + m_id) {
+    if (m_requiresTickets && start.m_ticket != "ticket-" + m_id) {
         return {WorkerStatus::REFUSED, "ticket"};
     }
     m_runs[start.m_task] = makeRun(start);
     m_witness.recordRunStart(start.m_task, start.m_run, m_name);
-    note("start", start.m_task, start.m_run);
+    recordRunEvent("start", start.m_task, start.m_run);
     return {WorkerStatus::OK, ""};
 }
 
 void FakeTaskWorker::start(const WorkerCall& call, const StartCall& start,
                            std::function<void(const RunReply&)> done) {
-    m_loop.callLater(LATENCY, [this, call, start, done = std::move(done),
-                               alive = std::weak_ptr(m_isAlive)] {
-        if (alive.expired()) {
-            return;
-        }
-        if (m_startsToDelay > 0) {
-            --m_startsToDelay;
-            m_loop.callLater(m_startDelay, [this, call, start, alive] {
-                if (!alive.expired()) {
-                    const RunReply reply = begin(call, start);
-                    noteLate("start", start.m_task, start.m_run, reply);
-                }
-            });
-            m_loop.callLater(LOST_ANSWER, [done] { done({WorkerStatus::UNKNOWN, "lost"}); });
-            return;
-        }
-        done(begin(call, start));
-    });
+    m_loop.callLater(LATENCY,
+                     [this, call, start, done = std::move(done), alive = std::weak_ptr(m_isAlive)] {
+                         if (alive.expired()) {
+                             return;
+                         }
+                         if (m_startsToDelay > 0) {
+                             --m_startsToDelay;
+                             m_loop.callLater(m_startDelay, [this, call, start, alive] {
+                                 if (!alive.expired()) {
+                                     const RunReply reply = startRun(call, start);
+                                     logLateCall("start", start.m_task, start.m_run, reply);
+                                 }
+                             });
+                             m_loop.callLater(LOST_ANSWER_TIMEOUT, [done] {
+                                 done({WorkerStatus::UNKNOWN, "lost"});
+                             });
+                             return;
+                         }
+                         done(startRun(call, start));
+                     });
 }
 
 void FakeTaskWorker::stop(const WorkerCall& call, const TaskKey& task, std::uint32_t run,
@@ -227,10 +228,10 @@
     const auto carryOut = [this, call, task, run] {
         const RunReply checked = checkCall(call);
         if (checked.m_status == WorkerStatus::OK) {
-            m_barred[task] = std::max(m_barred[task], run);
+            m_highestEndedRun[task] = std::max(m_highestEndedRun[task], run);
             const auto found = m_runs.find(task);
             if (found != m_runs.end() && found->second.m_number == run) {
-                end(task, RunEnd::STOPPED);
+                endRun(task, RunEnd::STOPPED);
             }
         }
         return checked;
@@ -244,21 +245,23 @@
             --m_stopsToDelay;
             m_loop.callLater(m_startDelay, [this, task, run, carryOut, alive] {
                 if (!alive.expired()) {
-                    noteLate("stop", task, run, carryOut());
+                    logLateCall("stop", task, run, carryOut());
                 }
             });
-            m_loop.callLater(LOST_ANSWER, [done] { done({WorkerStatus::UNKNOWN, "lost"}); });
+            m_loop.callLater(LOST_ANSWER_TIMEOUT, [done] {
+                done({WorkerStatus::UNKNOWN, "lost"});
+            });
             return;
         }
         done(carryOut());
     });
 }
 
-void FakeTaskWorker::extend(Millis until) {
-    m_until = std::max(m_until, std::min(until, getClock() + MAX_HOLD));
+void FakeTaskWorker::extendLease(Millis until) {
+    m_until = std::max(m_until, std::min(until, getClock() + MAX_LEASE));
 }
 
-HoldReply FakeTaskWorker::look() {
+HoldReply FakeTaskWorker::makeHoldReply() {
     HoldReply reply;
     reply.m_status = WorkerStatus::OK;
     reply.m_processStartedAt = m_processStartedAt;
@@ -267,11 +270,11 @@
         const auto passed = (m_loop.now() - run.m_startedAt).count();
         const auto length = std::max<std::int64_t>(1, (run.m_endsAt - run.m_startedAt).count());
         const bool lasts = run.m_isServing || run.m_isFilling;
-        const auto percent = m_isHanging ? m_hangsAtPercent
+        const auto percent = m_isHanging ? m_stalledPercent
                              : lasts     ? 100
                                          : std::min<std::int64_t>(100, 100 * passed / length);
         reply.m_running.push_back({task, run.m_number, "", static_cast<std::uint32_t>(percent),
-                                   run.m_isServing ? getTail() : 0U});
+                                   run.m_isServing ? getTailLatency() : 0U});
     }
     reply.m_ended = m_ended;
     return reply;
@@ -284,10 +287,10 @@
             --m_holdsToDelay;
             m_loop.callLater(m_startDelay, [this, call, hold, alive = std::weak_ptr(m_isAlive)] {
                 if (!alive.expired() && checkCall(call).m_status == WorkerStatus::OK) {
-                    takeHold(hold);
+                    applyHold(hold);
                 }
             });
-            m_loop.callLater(LOST_ANSWER, [done] {
+            m_loop.callLater(LOST_ANSWER_TIMEOUT, [done] {
                 HoldReply lost;
                 lost.m_reason = "lost";
                 done(lost);
@@ -303,52 +306,52 @@
             done(reply);
             return;
         }
-        takeHold(hold);
+        applyHold(hold);
         constexpr Millis LONGEST{100};
         const Millis wait = m_ended.empty() ? hold.m_wait : Millis(0);
-        waitHeld(m_loop.now() + std::min(wait, LONGEST), m_incarnations, done);
+        answerHoldAt(m_loop.now() + std::min(wait, LONGEST), m_incarnations, done);
     });
 }
 
-/** Ends up to there are forgotten at that moment; later ones are listed whatever their number. */
-void FakeTaskWorker::takeHold(const HoldCall& hold) {
+/** Only ends that exist now are removed; ends that come later are listed whatever their number. */
+void FakeTaskWorker::applyHold(const HoldCall& hold) {
     m_lastPersisted = std::max(m_lastPersisted, hold.m_lastPersisted);
-    forgetEnds(hold.m_lastPersisted);
+    removePersistedEnds(hold.m_lastPersisted);
     if (hold.m_until.has_value()) {
-        extend(*hold.m_until);
+        extendLease(*hold.m_until);
     }
 }
 
-/** A process that goes breaks its connections at once. */
-void FakeTaskWorker::waitHeld(Millis until, unsigned incarnations,
-                              std::function<void(const HoldReply&)> done) {
+/** The end of a process breaks its connections at once. */
+void FakeTaskWorker::answerHoldAt(Millis until, unsigned incarnations,
+                                  std::function<void(const HoldReply&)> done) {
     if (incarnations != m_incarnations || m_suspendedAt.has_value()) {
         HoldReply broken;
         broken.m_reason = "connection terminated";
         done(broken);
     } else if (m_loop.now() >= until) {
-        done(look());
+        done(makeHoldReply());
     } else {
         m_loop.callLater(std::min(STEP, until - m_loop.now()),
                          [this, until, incarnations, done, alive = std::weak_ptr(m_isAlive)] {
                              if (!alive.expired()) {
-                                 waitHeld(until, incarnations, done);
+                                 answerHoldAt(until, incarnations, done);
                              }
                          });
     }
 }
 
-std::uint32_t FakeTaskWorker::getTail() const {
+std::uint32_t FakeTaskWorker::getTailLatency() const {
     constexpr std::uint32_t ALONE = 10;
     constexpr std::uint32_t WHOLE = 100;
     std::uint32_t tail = ALONE;
     for (const auto& [task, run] : m_runs) {
-        tail += run.m_isFilling ? m_disturbance * run.m_percent / WHOLE : 0;
+        tail += run.m_isFilling ? m_addedTailLatencyMs * run.m_percent / WHOLE : 0;
     }
     return tail;
 }
 
-std::optional<std::uint32_t> FakeTaskWorker::getPace(const TaskKey& task) const {
+std::optional<std::uint32_t> FakeTaskWorker::getThrottlePercent(const TaskKey& task) const {
     const auto found = m_runs.find(task);
     return found == m_runs.end() ? std::nullopt : std::optional(found->second.m_percent);
 }
@@ -365,39 +368,39 @@
     });
 }
 
-void FakeTaskWorker::forgetEnds(std::uint64_t last) {
+void FakeTaskWorker::removePersistedEnds(std::uint64_t last) {
     for (const ListedEnd& end : m_ended) {
-        // What was listed when a lease was over counts for nothing any more (users' rule).
-        if (end.m_number > last || end.m_number <= m_lapsedThrough) {
+        // The platform's contract: ends that were listed when the lease expired don't count.
+        if (end.m_number > last || end.m_number <= m_lastLapsedEnd) {
             continue;
         }
         if (end.m_end == RunEnd::DONE) {
-            m_witness.recordPersisted(end.m_task);
+            m_witness.recordSuccessPersisted(end.m_task);
         }
-        m_witness.noteCounted(end.m_task, end.m_end, m_endEvents[end.m_number]);
+        m_witness.recordEndPersisted(end.m_task, end.m_end, m_endEvents[end.m_number]);
     }
     std::erase_if(m_ended, [last](const ListedEnd& e) { return e.m_number <= last; });
 }
 
-void FakeTaskWorker::end(const TaskKey& task, RunEnd how) {
+void FakeTaskWorker::endRun(const TaskKey& task, RunEnd how) {
     const Run run = m_runs[task];
     m_runs.erase(task);
-    m_barred[task] = std::max(m_barred[task], run.m_number);
-    // A stop saves what was done.
+    m_highestEndedRun[task] = std::max(m_highestEndedRun[task], run.m_number);
+    // A stop saves the work done as a checkpoint.
     const std::string saved =
             how == RunEnd::STOPPED ? std::to_string((m_loop.now() - run.m_startedAt).count()) : "";
     m_endEvents[m_nextEnd] = m_witness.recordRunEnd();
     m_ended.push_back({m_nextEnd++, task, run.m_number, how, saved});
-    m_witness.noteStop(task, m_name);
-    note(toText(how).data(), task, run.m_number);
+    m_witness.recordStop(task, m_name);
+    recordRunEvent(toText(how).data(), task, run.m_number);
     if (how == RunEnd::DONE) {
-        m_witness.noteDone(task);
+        m_witness.recordSuccess(task);
     }
 }
 
-void FakeTaskWorker::tick() {
+void FakeTaskWorker::endDueRuns() {
     if (getClock() >= m_until) {
-        m_lapsedThrough = m_nextEnd - 1;
+        m_lastLapsedEnd = m_nextEnd - 1;
     }
     std::vector<std::pair<TaskKey, RunEnd>> ends;
     for (const auto& [task, run] : m_runs) {
@@ -415,11 +418,11 @@
             crash();
             break;
         }
-        end(task, how);
+        endRun(task, how);
     }
     m_loop.callLater(STEP, [this, alive = std::weak_ptr(m_isAlive)] {
         if (!alive.expired()) {
-            tick();
+            endDueRuns();
         }
     });
 }
--- a/test/support/FakeTaskWorker.h
+++ b/test/support/FakeTaskWorker.h
@@ -18,10 +18,10 @@
 
 namespace pierbank::testing {
 
-/** Under what a worker is back after a crash. */
+/** Identity of a worker's next incarnation after a crash. */
 enum class RestartForm {
     NEW_ID,
-    /** The id that it had; only the moment of its start tells that it is another process. */
+    /** The same id; the start time alone distinguishes the incarnations. */
     SAME_ID,
 };
 
@@ -30,10 +30,12 @@
 }
 
 /**
- * A worker as the platform's pages describe it: fenced, leased on its own clock, listing ends
- * until they are known to be kept. A run takes the milliseconds that its payload says; a payload
- * that begins with `!` fails. `x10` crashes the worker 10 ms after its start; with `x10/2/3000`
- * only the step's task 2 does so, and the others take 3 s.
+ * A worker that follows the platform's contract: calls are fenced, runs are leased on the worker's
+ * own clock, and the end of a run is listed until the caller reports it as persisted.
+ *
+ * A run lasts for the milliseconds in its payload; with the prefix `!` the run fails at that time.
+ * `x10` crashes the worker 10 ms after the start of the run; with `x10/2/3000` only task 2 of the
+ * step does so, and the others last for 3 s. `serve` and `fill` run until they are stopped.
  */
 class FakeTaskWorker final : public TaskWorker {
 public:
@@ -49,96 +51,108 @@
     void hold(const WorkerCall& call, const HoldCall& hold,
               std::function<void(const HoldReply&)> done) override;
 
-    /** The worker crashes and is back: it holds and knows nothing of before, and its counts begin
-     * anew. */
+    /** Replaces the process at once: all runs, ends and the fence are lost and numbers start at 1.
+     */
     void restart();
     void restart(RestartForm form);
-    /** How far its clock is from the time of day when it starts. */
+    /** Error of the start time that the next incarnation reports, against the time of day. */
     Millis m_wallClockError{0};
     RestartForm m_restartForm = RestartForm::NEW_ID;
-    /** The same, but nothing listens before `m_awayAfterCrash` has passed. */
+    /** Restarts, and refuses connections until m_restartDelay has passed. */
     void crash();
-    Millis m_awayAfterCrash{3000};
-    /** Its machine is suspended: it does nothing, and its steady clock stands still. */
+    Millis m_restartDelay{3000};
+    /** Suspends the machine: no run progresses and the worker's steady clock stops. */
     void suspend();
+    /** Resumes the machine. The clock continues where it stopped. */
     void wake();
     bool isDown() const { return m_isDown; }
     bool isSuspended() const { return m_suspendedAt.has_value(); }
     const std::string& getId() const { return m_id; }
     WorkerIncarnation getIncarnation() const { return {m_id, m_processStartedAt}; }
-    /** Number of the next heartbeat; counts from 1 in each process. */
-    std::uint64_t countHeartbeat() { return ++m_beats; }
-    /** So many of the next starts are carried out this much later and not answered. */
+    /** Returns the number of the next heartbeat, from 1 in each incarnation. */
+    std::uint64_t countHeartbeat() { return ++m_heartbeatCount; }
+    /** Number of next starts that are carried out after m_startDelay and get no answer. */
     unsigned m_startsToDelay = 0;
     Millis m_startDelay{2000};
-    /** The same for stops and holds, which arrive after `m_startDelay` too. */
+    /** Likewise for stops and holds; their delay is m_startDelay too. */
     unsigned m_stopsToDelay = 0;
     unsigned m_holdsToDelay = 0;
-    /** Every start is refused with this word; empty: none. */
+    /** Reason with which every start is refused; empty: starts are accepted. */
     std::string m_refusal;
-    /** How many starts were refused so. */
-    std::size_t m_refused = 0;
-    /** Its runs stand still, while it looks well. */
+    /** Number of starts refused for m_refusal. */
+    std::size_t m_refusalCount = 0;
+    /** Whether runs are stalled while the worker goes on answering. */
     bool m_isHanging = false;
-    /** Of their work, what runs that stand still show as done. */
-    std::int64_t m_hangsAtPercent = 50;
-    /** Its runs are so many times slower. */
+    /** Progress in percent that stalled runs report. */
+    std::int64_t m_stalledPercent = 50;
+    /** Factor by which runs take longer. */
     int m_slowness = 1;
-    /** Starts have to bring the ticket that the advisor gave for this life. */
-    bool m_wantsTickets = false;
-    /** Runs with this payload serve users: the tail, in ms, that each filling run adds when it is
-     * not paced. */
-    std::uint32_t m_disturbance = 0;
-    /** Everything that it starts fails soon. */
+    /** Whether a start needs the advisor's placement ticket for this incarnation. */
+    bool m_requiresTickets = false;
+    /** Milliseconds that each unthrottled `fill` run adds to the tail latency of `serve` runs. */
+    std::uint32_t m_addedTailLatencyMs = 0;
+    /** Whether each run that starts fails after 200 ms. */
     bool m_failsAll = false;
-    /** It answers nothing, and its runs go on until their lease is over. */
+    /** Whether the worker answers no call; its runs go on until their lease expires. */
     bool m_isSilent = false;
     std::size_t countRunning() const { return m_runs.size(); }
     bool isRunning(const TaskKey& task) const { return m_runs.count(task) != 0; }
     std::uint64_t getLastPersisted() const { return m_lastPersisted; }
     std::uint64_t getFence() const { return m_fence; }
+    /** Returns the worker's steady clock, which starts at 1 s in each incarnation. */
     Millis getClock() const;
-    /** What it started and ended, as JSON: rows of what, task, run, time in ms. */
+    /** Returns the starts and ends of runs as JSON rows: event, task, run, time in ms. */
     std::string getJournalText() const { return "[" + m_journal + "]"; }
-    /** The share at which a run works; nothing when it is not there. */
-    std::optional<std::uint32_t> getPace(const TaskKey& task) const;
+    /** Returns the throttle of a run in percent, or nothing if the task doesn't run here. */
+    std::optional<std::uint32_t> getThrottlePercent(const TaskKey& task) const;
 
 private:
-    void takeHold(const HoldCall& hold);
-    void waitHeld(Millis until, unsigned incarnations, std::function<void(const HoldReply&)> done);
-    void note(const char* what, const TaskKey& task, std::uint32_t run);
-    void noteLate(const char* call, const TaskKey& task, std::uint32_t run,
-                  const RunReply& reply) const;
+    /** Forgets the ends that the caller reports as persisted, and extends the lease. */
+    void applyHold(const HoldCall& hold);
+    /** Answers a hold at `until`, or with an error if the process is replaced before. */
+    void answerHoldAt(Millis until, unsigned incarnations,
+                      std::function<void(const HoldReply&)> done);
+    /** Adds a row to the journal and writes it as a log line, to compare with other processes. */
+    void recordRunEvent(const char* what, const TaskKey& task, std::uint32_t run);
+    /** Logs that a call which got no answer was carried out. */
+    void logLateCall(const char* call, const TaskKey& task, std::uint32_t run,
+                     const RunReply& reply) const;
     struct Run {
         std::uint32_t m_number = 0;
         Millis m_startedAt{0};
         Millis m_endsAt{0};
         bool m_fails = false;
         bool m_crashes = false;
-        /** Payload `serve`: runs for ever; `fill`: too, and disturbs. */
+        /** Payload `serve` or `fill`: runs without end; `fill` adds latency to `serve`. */
         bool m_isServing = false;
         bool m_isFilling = false;
         std::uint32_t m_percent = 100;
         std::string m_checkpoint;
     };
+    /** Refuses calls for another incarnation or with an older fence; raises the fence otherwise. */
     RunReply checkCall(const WorkerCall& call);
-    RunReply begin(const WorkerCall& call, const StartCall& start);
+    RunReply startRun(const WorkerCall& call, const StartCall& start);
     Run makeRun(const StartCall& start) const;
-    void tick();
-    void forgetEnds(std::uint64_t last);
-    void end(const TaskKey& task, RunEnd how);
-    void extend(Millis until);
-    HoldReply look();
-    std::uint32_t getTail() const;
+    /** Ends the runs that are due or whose lease has expired; runs at a fixed interval. */
+    void endDueRuns();
+    /** Removes the listed ends up to a number and reports them to the witness as persisted. */
+    void removePersistedEnds(std::uint64_t last);
+    void endRun(const TaskKey& task, RunEnd how);
+    /** Extends the lease, at most to the maximum of a worker's lease. */
+    void extendLease(Millis until);
+    /** Returns the runs with their progress and the listed ends. */
+    HoldReply makeHoldReply();
+    /** Returns the tail latency of `serve` runs in ms. */
+    std::uint32_t getTailLatency() const;
 
     EventLoop& m_loop;
     RunWitness& m_witness;
     const std::string m_name;
     std::string m_id;
     std::uint64_t m_processStartedAt = 0;
-    std::uint64_t m_beats = 0;
-    /** Ends up to here were listed when a lease was over: they count for nothing any more. */
-    std::uint64_t m_lapsedThrough = 0;
+    std::uint64_t m_heartbeatCount = 0;
+    /** Last end that was listed when the lease expired; ends up to this number don't count. */
+    std::uint64_t m_lastLapsedEnd = 0;
     std::map<std::uint64_t, std::size_t> m_endEvents;
     bool m_isDown = false;
     std::optional<Millis> m_suspendedAt;
@@ -149,7 +163,8 @@
     std::uint64_t m_nextEnd = 1;
     std::uint64_t m_lastPersisted = 0;
     std::map<TaskKey, Run> m_runs;
-    std::map<TaskKey, std::uint32_t> m_barred;
+    /** Highest run of each task that has ended or been stopped; starts up to it are refused. */
+    std::map<TaskKey, std::uint32_t> m_highestEndedRun;
     std::vector<ListedEnd> m_ended;
     std::string m_journal;
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
--- a/test/support/FakeTransport.cpp
+++ b/test/support/FakeTransport.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-/** One end of a link. The other end is held weakly: dropping an end closes both. */
+/** One end of a link. The ends refer to each other weakly: destroying one closes both. */
 class FakeLink final : public Link, public std::enable_shared_from_this<FakeLink> {
 public:
     FakeLink(FakeNetwork& network, EventLoop& loop, std::string own, std::string peer)
@@ -59,14 +59,14 @@
             other->m_loop.callLater(LATENCY, [target] {
                 const auto link = target.lock();
                 if (link != nullptr) {
-                    link->end();
+                    link->handlePeerClosed();
                 }
             });
         }
     }
 
-    /** The other side is gone. */
-    void end() {
+    /** Closes this end because the other end has closed. */
+    void handlePeerClosed() {
         if (m_isClosed) {
             return;
         }
@@ -77,24 +77,24 @@
         }
     }
 
-    /** This side's process is dead: nothing is called any more. */
-    void silence() {
+    /** Closes this end without callbacks, since its process has terminated. */
+    void disconnect() {
         m_isClosed = true;
         m_onFrame = nullptr;
         m_onClose = nullptr;
     }
 
-    /** The network ends the link; this side learns of it on its own loop. */
-    void endLater() {
+    /** Closes this end from the network, on the loop of its process. */
+    void closeLater() {
         m_loop.callLater(LATENCY, [weak = weak_from_this()] {
             const auto link = weak.lock();
             if (link != nullptr) {
-                link->end();
+                link->handlePeerClosed();
             }
         });
     }
 
-    bool isOf(const std::string& process) const { return m_own == process; }
+    bool belongsTo(const std::string& process) const { return m_own == process; }
 
     void deliver(const std::string& bytes) {
         if (m_isClosed || !m_onFrame) {
@@ -112,7 +112,9 @@
     bool isBetween(const std::string& a, const std::string& b) const {
         return (m_own == a && m_peer == b) || (m_own == b && m_peer == a);
     }
-    bool touches(const std::string& process) const { return m_own == process || m_peer == process; }
+    bool involves(const std::string& process) const {
+        return m_own == process || m_peer == process;
+    }
 
     std::weak_ptr<FakeLink> m_other;
 
@@ -144,13 +146,13 @@
     std::erase_if(m_listeners, [&](const auto& e) { return e.second.m_process == process; });
     for (const auto& weak : m_links) {
         const auto link = weak.lock();
-        if (link == nullptr || !link->touches(process)) {
+        if (link == nullptr || !link->involves(process)) {
             continue;
         }
-        if (link->isOf(process)) {
-            link->silence();
+        if (link->belongsTo(process)) {
+            link->disconnect();
         } else {
-            link->endLater();
+            link->closeLater();
         }
     }
 }
@@ -159,7 +161,7 @@
     for (const auto& weak : m_links) {
         const auto link = weak.lock();
         if (link != nullptr && link->isBetween(a, b)) {
-            link->endLater();
+            link->closeLater();
         }
     }
 }
--- a/test/support/FakeTransport.h
+++ b/test/support/FakeTransport.h
@@ -17,24 +17,34 @@
 
 class FakeLink;
 
-/** The network between the processes of a test. Names are those of the processes. */
+/**
+ * The network between the processes of a test, owned by the test. Processes are named as their
+ * FakeTransport is.
+ */
 class FakeNetwork {
 public:
-    /** Nothing passes between two processes, and their links end after a while. */
+    /**
+     * Drops all frames between two processes and refuses new links between them. Existing links
+     * stay open until the processes' own timeouts close them.
+     */
     void cut(const std::string& a, const std::string& b);
+    /** Ends the effect of cut(). */
     void heal(const std::string& a, const std::string& b);
     bool isCut(const std::string& a, const std::string& b) const;
 
-    /** A process's machine is without power: nobody is told, and connections to it hang. */
+    /**
+     * Makes a process's machine behave as without power: its links stay open but carry nothing, and
+     * connections to it time out.
+     */
     void hang(const std::string& process) { m_hung.insert(process); }
 
-    /** Ends all links of a process at once, as its death does, and forgets its listener. */
+    /** Ends all links of a process, as its termination does, and removes its listener. */
     void kill(const std::string& process);
 
-    /** Ends the links between two processes; they may connect again. */
+    /** Ends the links between two processes, which may connect again. */
     void breakLinks(const std::string& a, const std::string& b);
 
-    /** What passes is shown to this function first; false drops the frame. */
+    /** Called with each frame before it is delivered; a result of false drops the frame. */
     using Tap = std::function<bool(const std::string& from, const std::string& to, const Frame&)>;
     void setTap(Tap tap) { m_tap = std::move(tap); }
 
@@ -55,7 +65,7 @@
     Tap m_tap;
 };
 
-/** One process's Transport. Every frame passes through the codec, as on a real wire. */
+/** Transport of one process. Every frame is encoded and decoded, as between real processes. */
 class FakeTransport final : public Transport {
 public:
     FakeTransport(FakeNetwork& network, EventLoop& loop, std::string process)
--- a/test/support/GlibFixture.h
+++ b/test/support/GlibFixture.h
@@ -13,10 +13,10 @@
 
 namespace pierbank::testing {
 
-/** For tests with real sockets on the loopback: one GLib loop, run until something happened. */
+/** Fixture for tests with real sockets on the loopback interface, run on one GLib loop. */
 class GlibFixture : public ::testing::Test {
 protected:
-    /** Runs the loop until quit() is called; fails the test when that takes far too long. */
+    /** Runs the loop until quit() is called; fails the test after 20 s. */
     void run() {
         const TimerId limit = m_loop.callLater(Millis(20'000), [this] {
             ADD_FAILURE() << "nothing happened";
@@ -26,13 +26,16 @@
         m_loop.cancel(limit);
     }
 
-    /** Runs the loop until a condition holds; fails the test when that takes far too long. */
+    /** Runs the loop until a condition holds; fails the test after 20 s. */
     void runUntil(const std::function<bool()>& condition) {
         checkLater(condition);
         run();
     }
 
-    /** Lets a server listen on a free port: the first that works from one of this process's own. */
+    /**
+     * Lets a server listen on the first free port from a start that depends on the process id, so
+     * that tests in parallel processes rarely collide. Fails the test after 200 ports in use.
+     */
     template <typename Server>
     Address listen(Server& server) {
         constexpr int FIRST_PORT = 30'000;
--- a/test/support/JobFleet.cpp
+++ b/test/support/JobFleet.cpp
@@ -9,23 +9,23 @@
 
 namespace {
 
-constexpr Millis BEAT_INTERVAL{500};
+constexpr Millis HEARTBEAT_INTERVAL{500};
 
 }  // namespace
 
 JobFleet::JobFleet(std::size_t gateways, std::size_t workers, std::int64_t taskCost)
-        : m_taskCost(taskCost) {
-    // As the queues of configure() have it.
+        : m_taskCostMicros(taskCost) {
+    // The number of attempts of the queues in configure().
     m_witness.m_attempts = 2;
     configure();
     m_gateways.resize(gateways);
     m_sidecars.resize(workers);
     for (std::size_t i = 0; i < workers; ++i) {
         m_sidecars[i].m_name = "side-" + std::to_string(i);
-        // The gateways are in 127.0.2.
-        constexpr std::size_t A_NET = 250;
-        m_sidecars[i].m_address = "127.0." + std::to_string(1 + i / A_NET * 2) + "." +
-                                  std::to_string(i % A_NET + 1) + ":7000";
+        // Skips 127.0.2.x, the addresses of the gateways.
+        constexpr std::size_t ADDRESSES_PER_NET = 250;
+        m_sidecars[i].m_address = "127.0." + std::to_string(1 + i / ADDRESSES_PER_NET * 2) + "." +
+                                  std::to_string(i % ADDRESSES_PER_NET + 1) + ":7000";
         m_sidecars[i].m_worker =
                 std::make_unique<FakeTaskWorker>(m_loop, m_witness, "w" + std::to_string(i));
         startSidecar(i);
@@ -54,22 +54,23 @@
             {"tenants",
              nlohmann::json::array(
                      {{{"name", "a"}, {"api_keys", keys}, {"guaranteed", {{"gpu", 8}}}}})}};
-    m_state.put(std::string(CONFIGURATION_KEY), configuration.dump());
+    m_storeState.put(std::string(CONFIGURATION_KEY), configuration.dump());
 }
 
-void JobFleet::startGateway(std::size_t place) {
-    Gateway& gateway = m_gateways[place];
+void JobFleet::startGateway(std::size_t index) {
+    Gateway& gateway = m_gateways[index];
     gateway.m_loop = std::make_unique<ProcessLoop>(m_loop);
-    gateway.m_loop->m_taskCost = m_taskCost;
+    gateway.m_loop->m_taskCostMicros = m_taskCostMicros;
     gateway.m_transport =
             std::make_unique<FakeTransport>(m_network, *gateway.m_loop, gateway.m_name);
-    gateway.m_store = std::make_unique<FakeRecordStore>(m_state, *gateway.m_loop, gateway.m_name);
+    gateway.m_store =
+            std::make_unique<FakeRecordStore>(m_storeState, *gateway.m_loop, gateway.m_name);
     JobCoreSettings settings;
     settings.m_leader.m_node = gateway.m_name;
     settings.m_workers.m_node = gateway.m_name;
     settings.m_configuration.m_linkMbps = m_linkMbps;
-    settings.m_links = {"127.0.2." + std::to_string(place + 1), 7001};
-    const PlatformPorts platform{*gateway.m_store, m_advisor, m_fleet, m_documents};
+    settings.m_links = {"127.0.2." + std::to_string(index + 1), 7001};
+    const PlatformPorts platform{*gateway.m_store, m_advisor, m_machineFleet, m_documents};
     gateway.m_core =
             std::make_unique<JobCore>(platform, *gateway.m_loop, *gateway.m_transport, settings);
     gateway.m_backend = std::make_unique<JobBackend>(*gateway.m_store, *gateway.m_loop,
@@ -78,20 +79,21 @@
     gateway.m_core->start(reason);
 }
 
-void JobFleet::killGateway(std::size_t place) {
-    Gateway& gateway = m_gateways[place];
+void JobFleet::killGateway(std::size_t index) {
+    Gateway& gateway = m_gateways[index];
     m_network.kill(gateway.m_name);
     gateway.m_backend.reset();
     gateway.m_core.reset();
     gateway.m_loop.reset();
 }
 
-void JobFleet::startSidecar(std::size_t place) {
-    Sidecar& sidecar = m_sidecars[place];
+void JobFleet::startSidecar(std::size_t index) {
+    Sidecar& sidecar = m_sidecars[index];
     sidecar.m_loop = std::make_unique<ProcessLoop>(m_loop);
     sidecar.m_transport =
             std::make_unique<FakeTransport>(m_network, *sidecar.m_loop, sidecar.m_name);
-    sidecar.m_store = std::make_unique<FakeRecordStore>(m_state, *sidecar.m_loop, sidecar.m_name);
+    sidecar.m_store =
+            std::make_unique<FakeRecordStore>(m_storeState, *sidecar.m_loop, sidecar.m_name);
     sidecar.m_agent = std::make_unique<WorkerAgent>(*sidecar.m_loop, *sidecar.m_worker,
                                                     WorkerAgentSettings());
     Reason reason;
@@ -105,44 +107,44 @@
             *sidecar.m_store, *sidecar.m_loop,
             [agent = sidecar.m_agent.get()] { return agent->hasLeader(); });
     sidecar.m_registration->start(getHostKey(sidecar.m_address));
-    heartbeat(place);
+    heartbeat(index);
 }
 
-void JobFleet::killSidecar(std::size_t place) {
-    Sidecar& sidecar = m_sidecars[place];
+void JobFleet::killSidecar(std::size_t index) {
+    Sidecar& sidecar = m_sidecars[index];
     m_network.kill(sidecar.m_name);
     sidecar.m_registration.reset();
     sidecar.m_agent.reset();
     sidecar.m_loop.reset();
 }
 
-WorkerHeartbeat JobFleet::makeHeartbeat(std::size_t place) {
-    Sidecar& sidecar = m_sidecars[place];
+WorkerHeartbeat JobFleet::makeHeartbeat(std::size_t index) {
+    Sidecar& sidecar = m_sidecars[index];
     WorkerHeartbeat heartbeat;
     heartbeat.m_incarnation = sidecar.m_worker->getIncarnation();
     heartbeat.m_service = "s";
-    heartbeat.m_rack = "r" + std::to_string(place / 2);
+    heartbeat.m_rack = "r" + std::to_string(index / 2);
     heartbeat.m_labels = {"a", heartbeat.m_rack};
     heartbeat.m_capacity = sidecar.m_capacity;
     heartbeat.m_isDraining = sidecar.m_isDraining;
     heartbeat.m_remaining = sidecar.m_remaining;
     heartbeat.m_warmUpRemaining = sidecar.m_warmUpRemaining;
-    heartbeat.m_failureDomain = "d" + std::to_string(place / 4);
+    heartbeat.m_failureDomain = "d" + std::to_string(index / 4);
     heartbeat.m_sequence = sidecar.m_worker->countHeartbeat();
     return heartbeat;
 }
 
-void JobFleet::heartbeat(std::size_t place) {
-    Sidecar& sidecar = m_sidecars[place];
-    if (sidecar.m_agent == nullptr || sidecar.m_isMute || sidecar.m_worker->isDown() ||
-        sidecar.m_worker->isSuspended()) {
+void JobFleet::heartbeat(std::size_t index) {
+    Sidecar& sidecar = m_sidecars[index];
+    if (sidecar.m_agent == nullptr || sidecar.m_isHeartbeatSuppressed ||
+        sidecar.m_worker->isDown() || sidecar.m_worker->isSuspended()) {
         return;
     }
-    deliver(place, makeHeartbeat(place));
+    deliver(index, makeHeartbeat(index));
 }
 
-void JobFleet::deliver(std::size_t place, const WorkerHeartbeat& heartbeat) {
-    m_sidecars[place].m_agent->handleHeartbeat(heartbeat);
+void JobFleet::deliver(std::size_t index, const WorkerHeartbeat& heartbeat) {
+    m_sidecars[index].m_agent->handleHeartbeat(heartbeat);
 }
 
 void JobFleet::setRestartForm(RestartForm form) {
@@ -155,11 +157,12 @@
     for (std::size_t i = 0; i < m_sidecars.size(); ++i) {
         heartbeat(i);
     }
-    m_loop.callLater(BEAT_INTERVAL, [this] { keepSendingHeartbeats(); });
+    m_loop.callLater(HEARTBEAT_INTERVAL, [this] { keepSendingHeartbeats(); });
 }
 
-IntakeAnswer JobFleet::ask(std::size_t gateway, const std::string& method, const std::string& path,
-                           const std::string& body, const std::string& key) {
+IntakeAnswer JobFleet::sendRequest(std::size_t gateway, const std::string& method,
+                                   const std::string& path, const std::string& body,
+                                   const std::string& key) {
     IntakeRequest request;
     request.m_method = method;
     request.m_host = HOST;
@@ -177,13 +180,13 @@
 IntakeAnswer JobFleet::submit(const std::string& id, const std::string& steps,
                               const std::string& payload, const std::string& queue,
                               std::size_t gateway) {
-    return ask(gateway, "POST", queue + id,
-               R"({"spec":")" + payload + R"(","steps":[)" + steps + "]}");
+    return sendRequest(gateway, "POST", queue + id,
+                       R"({"spec":")" + payload + R"(","steps":[)" + steps + "]}");
 }
 
 std::string JobFleet::getState(const std::string& id, const std::string& queue,
                                std::size_t gateway) {
-    const IntakeAnswer answer = ask(gateway, "GET", queue + id);
+    const IntakeAnswer answer = sendRequest(gateway, "GET", queue + id);
     if (answer.m_status != 200) {
         return std::to_string(answer.m_status);
     }
@@ -202,8 +205,8 @@
     return false;
 }
 
-std::shared_ptr<std::optional<StatementAnswer>> JobFleet::begin(std::size_t gateway,
-                                                                const std::string& text) {
+std::shared_ptr<std::optional<StatementAnswer>> JobFleet::startStatement(std::size_t gateway,
+                                                                         const std::string& text) {
     StatementRequest request;
     request.m_statement = parseStatement(text).m_statement.value();
     request.m_text = text;
@@ -214,8 +217,8 @@
     return answer;
 }
 
-StatementAnswer JobFleet::state(std::size_t gateway, const std::string& text) {
-    const auto answer = begin(gateway, text);
+StatementAnswer JobFleet::executeStatement(std::size_t gateway, const std::string& text) {
+    const auto answer = startStatement(gateway, text);
     constexpr Millis LIMIT{10'000};
     m_loop.advanceUntil(LIMIT, [&] { return answer->has_value(); });
     return answer->value_or(StatementAnswer());
--- a/test/support/JobFleet.h
+++ b/test/support/JobFleet.h
@@ -20,7 +20,10 @@
 
 namespace pierbank::testing {
 
-/** Gateways, sidecars and workers on a manual clock, with the store and the network between. */
+/**
+ * A deployment in one process: gateways, sidecars and workers on a manual clock, connected by the
+ * fakes of the store and the network. Gateways and sidecars are addressed by their index.
+ */
 class JobFleet {
 public:
     static constexpr const char* KEY = "key-a";
@@ -46,69 +49,79 @@
         std::unique_ptr<WorkerAgent> m_agent;
         std::unique_ptr<Registration> m_registration;
         bool m_isDraining = false;
-        /** What its worker's heartbeats say that it has. */
+        /** Capacity in the worker's heartbeats. */
         Resources m_capacity{8000, 8000, 8};
-        /** Its worker sends no heartbeats. */
-        bool m_isMute = false;
-        /** While it drains: the least time that it stays. */
+        /** Whether the worker sends no heartbeats. */
+        bool m_isHeartbeatSuppressed = false;
+        /** Minimum time that the worker stays while it drains. */
         Millis m_remaining{0};
-        /** How much longer its worker is slow. */
+        /** Time for which the worker remains cold. */
         Millis m_warmUpRemaining{0};
     };
 
-    /** @param taskCost what each task takes of a gateway's processor, in microseconds. */
+    /** @param taskCost processor time of each task on a gateway's loop, in microseconds. */
     JobFleet(std::size_t gateways, std::size_t workers, std::int64_t taskCost = 0);
 
-    /** Writes the operators' configuration, with these keys. */
+    /** Writes the next version of the operators' configuration, with these API keys. */
     void configure(const std::vector<std::string>& keys = {KEY});
-    /** From the next configuration on, the queue `/batch/` is one with advice. */
+    /** Whether the queue `/batch/` uses placement advice, from the next configure() on. */
     bool m_hasAdvice = false;
 
-    /** Of gateways that are started from then on. */
+    /** Bandwidth setting of gateways that are started from now on, in Mbit/s. */
     double m_linkMbps = 1000.0;
-    void startGateway(std::size_t place);
-    void killGateway(std::size_t place);
-    void startSidecar(std::size_t place);
-    void killSidecar(std::size_t place);
-    void heartbeat(std::size_t place);
-    /** What a worker would say of itself now; delivered later, it is a delayed heartbeat. */
-    WorkerHeartbeat makeHeartbeat(std::size_t place);
-    void deliver(std::size_t place, const WorkerHeartbeat& heartbeat);
-    /** All workers are back after crashes in this form. */
+    /** Starts a gateway as a new process. */
+    void startGateway(std::size_t index);
+    /** Terminates a gateway without a shutdown; its links close. */
+    void killGateway(std::size_t index);
+    /** Starts a sidecar as a new process and delivers its worker's heartbeat. */
+    void startSidecar(std::size_t index);
+    /** Terminates a sidecar without a shutdown; its worker continues. */
+    void killSidecar(std::size_t index);
+    /** Delivers a worker's heartbeat to its sidecar, unless a fault of either prevents it. */
+    void heartbeat(std::size_t index);
+    /** Returns a worker's current heartbeat, for delivery now or with a delay. */
+    WorkerHeartbeat makeHeartbeat(std::size_t index);
+    void deliver(std::size_t index, const WorkerHeartbeat& heartbeat);
+    /** Sets the identity with which all workers return after a crash. */
     void setRestartForm(RestartForm form);
 
-    /** Sends a request and lets time pass until it is answered. */
-    IntakeAnswer ask(std::size_t gateway, const std::string& method, const std::string& path,
-                     const std::string& body = "", const std::string& key = KEY);
-    /** Hands in a job on queue `/batch/` (priority 1) or `/urgent/` (priority 0). */
+    /** Sends a request and advances the clock until it is answered, for at most 10 s. */
+    IntakeAnswer sendRequest(std::size_t gateway, const std::string& method,
+                             const std::string& path, const std::string& body = "",
+                             const std::string& key = KEY);
+    /** Submits a job to the queue `/batch/` (priority 1) or `/urgent/` (priority 0). */
     IntakeAnswer submit(const std::string& id, const std::string& steps, const std::string& payload,
                         const std::string& queue = "/batch/", std::size_t gateway = 0);
+    /** Returns a job's state, or the status as text if the answer is not 200. */
     std::string getState(const std::string& id, const std::string& queue = "/batch/",
                          std::size_t gateway = 0);
+    /** Polls a job's state each 50 ms. Returns false if the limit passes first. */
     bool waitForState(const std::string& id, const std::string& state, Millis limit,
                       const std::string& queue = "/batch/", std::size_t gateway = 0);
-    /** Begins an operator's statement at a gateway; its answer comes with time. */
-    std::shared_ptr<std::optional<StatementAnswer>> begin(std::size_t gateway,
-                                                          const std::string& text);
-    /** The same, and lets time pass until it is answered. */
-    StatementAnswer state(std::size_t gateway, const std::string& text);
-    /** The place of the gateway that leads. */
+    /** Starts an operator's statement at a gateway; the result is set when it is answered. */
+    std::shared_ptr<std::optional<StatementAnswer>> startStatement(std::size_t gateway,
+                                                                   const std::string& text);
+    /** Executes a statement and advances the clock until it is answered, for at most 10 s. */
+    StatementAnswer executeStatement(std::size_t gateway, const std::string& text);
+    /** Returns the index of the gateway that leads, if there is one. */
     std::optional<std::size_t> findLeader() const;
+    /** Advances the clock until a gateway leads. Returns false if the limit passes first. */
     bool waitForLeader(Millis limit = Millis(5000));
 
     ManualEventLoop m_loop;
     FakeNetwork m_network;
     FakeAdvisor m_advisor{m_loop};
-    FakeMachineFleet m_fleet{m_loop};
-    FakeStoreState m_state{m_loop};
+    FakeMachineFleet m_machineFleet{m_loop};
+    FakeStoreState m_storeState{m_loop};
     RunWitness m_witness;
     adapter::PlatformDocuments m_documents;
     std::vector<Gateway> m_gateways;
     std::vector<Sidecar> m_sidecars;
 
 private:
+    /** Sends the heartbeats of all workers, at a fixed interval. */
     void keepSendingHeartbeats();
-    const std::int64_t m_taskCost;
+    const std::int64_t m_taskCostMicros;
     std::uint64_t m_version = 0;
 };
 
--- a/test/support/ManualEventLoop.cpp
+++ b/test/support/ManualEventLoop.cpp
@@ -68,15 +68,15 @@
 
 void ProcessLoop::run(std::uint64_t id) {
     if (m_isFrozen) {
-        m_late.emplace_back(id, m_base.now());
+        m_overdueTasks.emplace_back(id, m_base.now());
         return;
     }
-    if (m_taskCost == 0) {
+    if (m_taskCostMicros == 0) {
         execute(id);
         return;
     }
     m_ready.push_back(id);
-    pump();
+    runReadyTasks();
 }
 
 namespace {
@@ -85,30 +85,30 @@
 
 }  // namespace
 
-void ProcessLoop::pump() {
+void ProcessLoop::runReadyTasks() {
     while (!m_ready.empty() && !m_isFrozen) {
         const std::int64_t now = m_base.now().count() * MICROS_PER_MILLI;
         if (m_busyUntil > now) {
-            pumpAt(m_busyUntil);
+            scheduleReadyTasks(m_busyUntil);
             return;
         }
         const std::uint64_t id = m_ready.front();
         m_ready.pop_front();
-        m_busyUntil = std::max(m_busyUntil, now - MICROS_PER_MILLI) + m_taskCost;
+        m_busyUntil = std::max(m_busyUntil, now - MICROS_PER_MILLI) + m_taskCostMicros;
         execute(id);
     }
 }
 
-void ProcessLoop::pumpAt(std::int64_t micros) {
-    if (std::exchange(m_isPumpDue, true)) {
+void ProcessLoop::scheduleReadyTasks(std::int64_t micros) {
+    if (std::exchange(m_isReadyRunScheduled, true)) {
         return;
     }
     const std::int64_t wait = micros - m_base.now().count() * MICROS_PER_MILLI;
     const Millis delay((wait + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI);
     m_base.callLater(delay, [this, alive = m_isAlive] {
         if (*alive) {
-            m_isPumpDue = false;
-            pump();
+            m_isReadyRunScheduled = false;
+            runReadyTasks();
         }
     });
 }
@@ -130,17 +130,17 @@
 
 void ProcessLoop::thaw() {
     m_isFrozen = false;
-    if (m_standsStill) {
-        m_notCounted += m_base.now() - m_frozenAt;
+    if (m_excludesSuspension) {
+        m_suspendedTime += m_base.now() - m_frozenAt;
     }
-    for (const auto& [id, due] : std::exchange(m_late, {})) {
-        if (m_standsStill) {
+    for (const auto& [id, due] : std::exchange(m_overdueTasks, {})) {
+        if (m_excludesSuspension) {
             runLater(id, due - m_frozenAt);
         } else {
             run(id);
         }
     }
-    pump();
+    runReadyTasks();
 }
 
 }  // namespace pierbank::testing
--- a/test/support/ManualEventLoop.h
+++ b/test/support/ManualEventLoop.h
@@ -14,7 +14,7 @@
 
 namespace pierbank::testing {
 
-/** A loop whose time moves only when a test moves it. Same test, same order of events. */
+/** An event loop with a clock that only the test advances, so that a test is deterministic. */
 class ManualEventLoop final : public EventLoop {
 public:
     Millis now() const noexcept override { return m_now; }
@@ -22,10 +22,10 @@
     TimerId callLater(Millis delay, Task task) override;
     void cancel(TimerId timer) noexcept override;
 
-    /** Lets time pass, running each timer at its time. */
+    /** Advances the clock and runs each timer at the time when it is due. */
     void advance(Millis time);
 
-    /** Advances in small steps until a condition holds. @return false when it does not in time. */
+    /** Advances the clock in steps of 5 ms until a condition holds. @return false at the limit. */
     bool advanceUntil(Millis limit, const std::function<bool()>& condition);
 
 private:
@@ -38,11 +38,13 @@
 };
 
 /**
- * The loop of one process of a test with several. A frozen process runs nothing; what was due
- * meanwhile runs late, when it is thawed. A dead one never runs anything again.
+ * The event loop of one process in a test with several processes. A frozen process runs no tasks;
+ * tasks that fall due meanwhile run when it is thawed. After destruction, which stands for the
+ * termination of the process, no task runs.
  *
- * On a machine that was suspended GlibEventLoop does the same: its clock counts the time, and what
- * is overdue runs first. With `m_standsStill` the loop has the other steady clock, which does not.
+ * GlibEventLoop behaves likewise after a suspension of its machine: its clock includes the time of
+ * the suspension, and overdue tasks run first. With `m_excludesSuspension` the loop has a steady
+ * clock that excludes that time.
  */
 class ProcessLoop final : public EventLoop {
 public:
@@ -51,7 +53,7 @@
     ProcessLoop(const ProcessLoop&) = delete;
     ProcessLoop& operator=(const ProcessLoop&) = delete;
 
-    Millis now() const noexcept override { return m_base.now() - m_notCounted; }
+    Millis now() const noexcept override { return m_base.now() - m_suspendedTime; }
     Millis wallNow() const noexcept override { return m_base.wallNow(); }
     TimerId callLater(Millis delay, Task task) override;
     void cancel(TimerId timer) noexcept override;
@@ -59,30 +61,33 @@
     void freeze();
     void thaw();
     bool isFrozen() const { return m_isFrozen; }
-    bool m_standsStill = false;
-    /** What each task takes of the processor, in microseconds; others wait meanwhile. */
-    std::int64_t m_taskCost = 0;
+    /** Whether the clock excludes the time while the process is frozen. */
+    bool m_excludesSuspension = false;
+    /** Processor time of each task, in microseconds; other tasks wait for its end. */
+    std::int64_t m_taskCostMicros = 0;
 
 private:
+    /** Executes a due task, or queues it while the process is frozen or busy. */
     void run(std::uint64_t id);
-    void pump();
-    void pumpAt(std::int64_t micros);
+    /** Executes the ready tasks until the processor is busy. */
+    void runReadyTasks();
+    void scheduleReadyTasks(std::int64_t micros);
     void execute(std::uint64_t id);
     void runLater(std::uint64_t id, Millis delay);
 
     ManualEventLoop& m_base;
     std::uint64_t m_nextTimer = 1;
     std::map<std::uint64_t, Task> m_tasks;
-    /** Tasks that were due while frozen, and when. */
-    std::vector<std::pair<std::uint64_t, Millis>> m_late;
-    /** Tasks that are due and wait for the processor. */
+    /** Tasks that fell due while the process was frozen, with the time when they were due. */
+    std::vector<std::pair<std::uint64_t, Millis>> m_overdueTasks;
+    /** Due tasks that wait for the processor. */
     std::deque<std::uint64_t> m_ready;
-    /** Microseconds of the base's time. */
+    /** Time until which the processor is busy, in microseconds of the base loop. */
     std::int64_t m_busyUntil = 0;
-    bool m_isPumpDue = false;
+    bool m_isReadyRunScheduled = false;
     bool m_isFrozen = false;
     Millis m_frozenAt{0};
-    Millis m_notCounted{0};
+    Millis m_suspendedTime{0};
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
 };
 
--- a/test/support/RunWitness.cpp
+++ b/test/support/RunWitness.cpp
@@ -11,43 +11,43 @@
         m_violations.push_back(task.toText() + " run " + std::to_string(run) + " on " + worker +
                                " while it runs on " + m_running[task]);
     }
-    if (m_kept.count(task) != 0) {
+    if (m_persisted.count(task) != 0) {
         m_violations.push_back(task.toText() + " started on " + worker + " after it was done");
     }
     m_running[task] = worker;
-    m_stories[task].m_starts.push_back(++m_events);
-    checkStory(task);
+    m_histories[task].m_starts.push_back(++m_events);
+    checkHistory(task);
 }
 
-void RunWitness::noteCounted(const TaskKey& task, RunEnd how, std::size_t end) {
-    Story& story = m_stories[task];
+void RunWitness::recordEndPersisted(const TaskKey& task, RunEnd how, std::size_t end) {
+    TaskHistory& history = m_histories[task];
     if (how == RunEnd::DONE) {
-        story.m_done.push_back(end);
+        history.m_done.push_back(end);
     } else if (how == RunEnd::FAILED) {
-        story.m_failed.push_back(end);
-        std::sort(story.m_failed.begin(), story.m_failed.end());
+        history.m_failed.push_back(end);
+        std::sort(history.m_failed.begin(), history.m_failed.end());
     }
-    checkStory(task);
+    checkHistory(task);
 }
 
-/** An end may be taken note of only after the start that it forbids. */
-void RunWitness::checkStory(const TaskKey& task) {
-    const Story& story = m_stories[task];
-    const std::size_t last = story.m_starts.empty() ? 0 : story.m_starts.back();
+/** Called after ends too, since an end may be persisted only after the start that it forbids. */
+void RunWitness::checkHistory(const TaskKey& task) {
+    const TaskHistory& history = m_histories[task];
+    const std::size_t last = history.m_starts.empty() ? 0 : history.m_starts.back();
     const auto isBefore = [last](std::size_t end) {
         return end < last;
     };
-    if (std::any_of(story.m_done.begin(), story.m_done.end(), isBefore)) {
+    if (std::any_of(history.m_done.begin(), history.m_done.end(), isBefore)) {
         m_violations.push_back(task.toText() + " started after an end that counts as done");
     }
-    const auto failed = std::count_if(story.m_failed.begin(), story.m_failed.end(), isBefore);
+    const auto failed = std::count_if(history.m_failed.begin(), history.m_failed.end(), isBefore);
     if (m_attempts > 0 && failed >= static_cast<std::ptrdiff_t>(m_attempts)) {
         m_violations.push_back(task.toText() + " started after " + std::to_string(failed) +
                                " failed runs");
     }
 }
 
-void RunWitness::noteStop(const TaskKey& task, const std::string& worker) {
+void RunWitness::recordStop(const TaskKey& task, const std::string& worker) {
     const auto found = m_running.find(task);
     if (found != m_running.end() && found->second == worker) {
         m_running.erase(found);
--- a/test/support/RunWitness.h
+++ b/test/support/RunWitness.h
@@ -12,19 +12,28 @@
 
 namespace pierbank::testing {
 
-/** What all workers of a test saw together, and what must never be. */
+/**
+ * Records the starts and ends of runs on all workers of a test, and the violations of the promise
+ * that a task never runs twice at once or again after its end counts.
+ */
 class RunWitness {
 public:
+    /** Records a start. A start while the task runs, or after its success was persisted, is a
+     * violation. */
     void recordRunStart(const TaskKey& task, std::uint32_t run, const std::string& worker);
-    void noteStop(const TaskKey& task, const std::string& worker);
-    /** A run ended well; until its worker was told to forget that, it may have to run again. */
-    void noteDone(const TaskKey& task) { m_done.insert(task); }
-    void recordPersisted(const TaskKey& task) { m_kept.insert(task); }
-    /** A run ended; the number names this end, and rises. */
+    void recordStop(const TaskKey& task, const std::string& worker);
+    /** Records a success. The task may run again until that end is persisted. */
+    void recordSuccess(const TaskKey& task) { m_done.insert(task); }
+    /** Records that a success is persisted: the task must not start again. */
+    void recordSuccessPersisted(const TaskKey& task) { m_persisted.insert(task); }
+    /** Records the end of a run. Returns the number of this end, which increases. */
     std::size_t recordRunEnd() { return ++m_events; }
-    /** That end was taken note of, in time: what it counts for counts from when it came. */
-    void noteCounted(const TaskKey& task, RunEnd how, std::size_t end);
-    /** Runs of a task that may end as failed before it is not started any more; zero: any. */
+    /**
+     * Records that an end was persisted before its worker's lease expired. It counts from the time
+     * of the end, not of this call.
+     */
+    void recordEndPersisted(const TaskKey& task, RunEnd how, std::size_t end);
+    /** Maximum number of failed runs of a task, after which it must not start; zero: no limit. */
     unsigned m_attempts = 0;
     bool isDone(const TaskKey& task) const { return m_done.count(task) != 0; }
     std::size_t countStarts(const TaskKey& task) const;
@@ -33,20 +42,21 @@
     const std::vector<std::string>& getViolations() const { return m_violations; }
 
 private:
-    /** Starts and counted ends of one task, in the order in which they came. */
-    struct Story {
+    /** Numbers of the starts and of the persisted ends of one task, in order of occurrence. */
+    struct TaskHistory {
         std::vector<std::size_t> m_starts;
         std::vector<std::size_t> m_done;
         std::vector<std::size_t> m_failed;
     };
-    void checkStory(const TaskKey& task);
+    /** Adds a violation if the last start came after an end that forbids it. */
+    void checkHistory(const TaskKey& task);
 
     std::size_t m_events = 0;
-    std::map<TaskKey, Story> m_stories;
+    std::map<TaskKey, TaskHistory> m_histories;
     std::map<TaskKey, std::string> m_running;
     std::map<TaskKey, std::size_t> m_starts;
     std::set<TaskKey> m_done;
-    std::set<TaskKey> m_kept;
+    std::set<TaskKey> m_persisted;
     std::vector<std::string> m_violations;
 };
 
