--- a/build.sh
+++ b/build.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# Builds pierbank and runs it. The commands do all set-up on a fresh machine.
-#   ./build.sh build        installs what is missing and builds
-#   ./build.sh demo         the whole path on loopback, with real processes; stops by itself
-#   ./build.sh test         everything that CI checks
-#   ./build.sh clean        removes the build
+# Builds, tests and demonstrates pierbank. Missing packages are installed first.
+#   ./build.sh build        installs missing packages and builds
+#   ./build.sh demo         builds and runs a demonstration with real processes on loopback
+#   ./build.sh test         builds and runs all checks of CI
+#   ./build.sh clean        removes the build folder
 set -euo pipefail
 cd "$(dirname "$0")"
 
@@ -17,6 +17,7 @@
 )
 readonly OUT=out
 
+# Installs the packages that are not installed yet; needs root only if there are any.
 install_missing() {
     local missing=()
     for package in "${PACKAGES[@]}"; do
@@ -31,6 +32,7 @@
     fi
 }
 
+# Builds into $OUT/build.
 build() {
     install_missing
     cmake -S . -B "$OUT/build" -G Ninja >"$OUT.cmake.log" 2>&1 || { cat "$OUT.cmake.log"; exit 1; }
@@ -38,22 +40,24 @@
     ninja -C "$OUT/build" --quiet
 }
 
+# Fails if clang-format would change a source file.
 check_format() {
     git ls-files -z '*.h' '*.cpp' | xargs -0 clang-format --dry-run --Werror
 }
 
-# The project's own sources, with the checks of .clang-tidy.
+# Runs the checks of .clang-tidy on the project's own sources. WebSocketCodec is excluded.
 check_tidy() {
     git ls-files -z 'libs/*/src/*.cpp' 'platform/src/*.cpp' 'tools/*.cpp' | grep -zv WebSocketCodec |
         xargs -0 -P "$(nproc)" -n 4 clang-tidy -p "$OUT/build" --quiet 2>/dev/null
 }
 
-# Names of the tests of KNOWN-RED.txt (test, cause, issue; one a line), joined by a sign.
+# list_known_red SEPARATOR : prints the names of the tests in KNOWN-RED.txt, joined by the
+# separator. Each line of the file names a test, its cause and its issue.
 list_known_red() {
     if [ -f KNOWN-RED.txt ]; then cut -d, -f1 KNOWN-RED.txt | paste -sd "$1"; fi
 }
 
-# The tests under the address and undefined-behaviour sanitizers.
+# Runs the unit tests, except known failures, under the address and undefined-behaviour sanitizers.
 check_sanitizers() {
     cmake -S . -B "$OUT/sanitize" -G Ninja -DPIERBANK_SANITIZE=ON -DCMAKE_BUILD_TYPE=None >/dev/null
     ninja -C "$OUT/sanitize" --quiet pierbank-tests
@@ -64,7 +68,7 @@
         { tail -n 60 "$OUT/sanitize.log"; return 1; }
 }
 
-# A short fuzz of the decoders with a fixed seed.
+# Fuzzes the decoders with a fixed seed and a fixed number of runs.
 check_fuzz() {
     cmake -S . -B "$OUT/fuzz" -G Ninja -DPIERBANK_FUZZ=ON -DCMAKE_BUILD_TYPE=None \
         -DCMAKE_CXX_COMPILER=clang++ >/dev/null
@@ -74,14 +78,15 @@
         "$OUT/fuzz/found" fuzz/corpus >"$OUT/fuzz.log" 2>&1 || { tail -n 40 "$OUT/fuzz.log"; return 1; }
 }
 
-# Prints a heading, runs a check, and says how it ended.
+# step CHECK : runs a check between a heading and a line with the time since the start of the
+# script.
 step() {
     echo "== $1"
     "$1"
     echo "ok: $1 (${SECONDS} s so far)"
 }
 
-# Tests of KNOWN-RED.txt are printed and passed over.
+# Runs the unit tests. The tests in KNOWN-RED.txt are printed and skipped.
 check_units() {
     local pass_over=() known
     known=$(list_known_red '|')
@@ -95,8 +100,9 @@
 check_pages() { test/check_pages.sh "$OUT/build"; }
 check_model() { model/check.sh; }
 check_processes() { test/process/failures.sh "$OUT/build"; }
-# Seeded soaks: seed 3 and 8 once broke (docs/SOAK.md); a third has failure domains evacuated meanwhile, in a fourth workers
-# restart under the ids that they had.
+# Runs four short soaks with fixed seeds. Seeds 3 and 8 guard against faults that they once exposed
+# (docs/SOAK.md). The third soak evacuates failure domains; in the fourth, restarted workers keep
+# their ids.
 check_soak() {
     local options
     for options in "--seed 3" "--seed 8" "--seed 5 --evacuate" "--seed 117 --keep-ids"; do
--- a/model/check.sh
+++ b/model/check.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Checks the models with Spin, and that Spin refutes each mutant. Prints one line a run.
+# Verifies the models with Spin, and verifies that Spin refutes each mutant: a model in which one
+# mechanism is switched off. Prints one line for each run.
 set -euo pipefail
 cd "$(dirname "$0")"
 work=$(mktemp -d)
@@ -7,7 +8,8 @@
 passed=0
 failed=0
 
-# verify EXPECTED MODEL [DEFINE...]
+# verify EXPECTED MODEL [DEFINE...] : checks a model with these macros defined. EXPECTED is `holds`
+# or `refuted`; any other outcome, such as an exceeded search depth, counts as a failure.
 verify() {
     local expected=$1 model=$2
     shift 2
@@ -17,8 +19,8 @@
     (
         cd "$dir"
         spin "${@/#/-D}" -a "$OLDPWD/$model" >spin.log || { cat spin.log; exit 1; }
-        # Breadth first finds a mutant's shortest counterexample soon; depth first needs less
-        # memory where all states are visited.
+        # Breadth-first search finds the shortest counterexample of a mutant quickly. Depth-first
+        # search needs less memory when all states have to be visited.
         local search=-DCOLLAPSE
         [ "$expected" = refuted ] && search=-DBFS
         gcc -O2 -DSAFETY "$search" -o pan pan.c 2>gcc.log
@@ -65,7 +67,7 @@
 for mutant in ID_ALONE LEDGER_BY_ID NO_FENCE NO_ADOPTION LOSE_BEFORE_REPORT ACKNOWLEDGE_UNSEEN; do
     verify refuted restart.pml "MUTANT_$mutant"
 done
-# No mutant: an assumption that no caller of a worker can make true.
+# This is not a mutant: the macro removes an assumption that no caller of a worker can enforce.
 verify refuted restart.pml LATE_BEFORE_FIRST_CALL
 verify holds confirmation.pml TELLERS=2 QUESTIONS=1
 verify holds confirmation.pml TELLERS=1 QUESTIONS=2
--- a/model/confirmation.pml
+++ b/model/confirmation.pml
@@ -1,51 +1,53 @@
 /* SPDX-License-Identifier: Apache-2.0
- * How old a gateway that follows takes its configuration for, when leaders tell it. Two gateways tell:
- * the leader, and one that was replaced and does not know it. Each reads the store; readings,
- * questions and answers take any time (a frozen process, a link that stays silent), get lost, and
- * overtake each other; every clock counts ticks, and none is compared with another's. docs/MODEL.md
- * maps it to the code.
+ * Models how a following gateway determines the age of its configuration from the answers of
+ * leaders. Two gateways (tellers) answer: the leader, and one that was superseded without having
+ * noticed. Each of them reads the store. Reads, questions and answers may take any time (a frozen
+ * process, an unresponsive link), get lost and overtake each other. Every clock counts ticks and is
+ * never compared with the clock of another process. docs/MODEL.md maps the model to the code.
  *
- * Checked: a gateway never takes a revision that was replaced for younger than the time since then.
- * By that age keys that were taken away are refused in time.
+ * Checked: if the follower's revision has been replaced, the age that the follower assumes is never
+ * less than the time since the replacement. The bound on the age then ensures that revoked keys are
+ * refused in time.
  *
  * Mutants (-D): MUTANT_AGE_FROM_ARRIVAL, MUTANT_NO_TOLD_AGE, MUTANT_UNASKED, MUTANT_ANY_REVISION,
  * MUTANT_OTHER_QUESTION, MUTANT_READ_FROM_ANSWER.
  */
-#define NEVER 3           /* ages count no further */
+#define NEVER 3           /* largest age; ages saturate here */
 #ifndef TELLERS
 #define TELLERS 2
 #endif
 #ifndef QUESTIONS
-#define QUESTIONS 1       /* under way at the same time */
+#define QUESTIONS 1       /* number of concurrent questions */
 #endif
 
 #define IDLE 0
 #define ASKED 1
-#define ANSWERED 2        /* the answer is on its way */
+#define ANSWERED 2        /* the answer is in transit */
 
-/* The store: its revision, 0 or 1, and how long ago 1 replaced 0. */
+/* The store: its revision, 0 or 1, and the time since revision 1 replaced revision 0. */
 byte revision = 0;
 byte replaced = 0;
 
-/* What a teller has, and its reading under way (age NEVER: none is). */
+/* Revision of each teller with its age, and the pending read (age NEVER: no read is pending). */
 byte tellerRevision[TELLERS];
 byte tellerAge[TELLERS];
 byte readRevision[TELLERS];
 byte readAge[TELLERS];
 
-/* The follower. */
+/* The follower: its revision with its age, the questions that are pending, and their answers. */
 byte ownRevision = 0;
 byte ownAge = NEVER;
 byte question[QUESTIONS];
 byte questionAge[QUESTIONS];
 byte toldRevision[QUESTIONS];
 byte toldAge[QUESTIONS];
-bool isUnasked = false;   /* a message that nobody asked for is on its way */
+bool isUnasked = false;   /* an unsolicited message is in transit */
 byte unaskedRevision = 0;
 #ifdef MUTANT_UNASKED
 byte unaskedAge = 0;
 #endif
 
+/* Increments an age up to NEVER. */
 inline grow(age) {
     if
     :: age < NEVER -> age++
@@ -53,7 +55,7 @@
     fi
 }
 
-/* A word that this revision was confirmed so long ago. */
+/* The follower receives the information that a revision was confirmed `age` ticks ago. */
 inline learn(told, age) {
     if
 #ifdef MUTANT_ANY_REVISION
@@ -61,11 +63,12 @@
 #else
     :: told == ownRevision && age < ownAge -> ownAge = age
 #endif
-    :: told > ownRevision -> ownRevision = told; ownAge = age   /* read for itself, later */
+    :: told > ownRevision -> ownRevision = told; ownAge = age   /* content is read later */
     :: else -> skip
     fi
 }
 
+/* Adds two ages up to NEVER. */
 inline sum(out, a, b) {
     if
     :: a + b < NEVER -> out = a + b
@@ -73,6 +76,7 @@
     fi
 }
 
+/* Passage of time, and the replacement of the configuration. */
 active proctype world() {
     byte i;
     do
@@ -97,6 +101,7 @@
     od
 }
 
+/* Reads the store, answers questions and sends unsolicited messages. */
 active [TELLERS] proctype teller() {
     byte me = _pid - 1;
     tellerAge[me] = NEVER;
@@ -125,6 +130,7 @@
     od
 }
 
+/* Asks questions and evaluates answers; also contains the checked property. */
 active proctype follower() {
     byte number;
     byte age;
@@ -140,7 +146,7 @@
         :: else -> number = 0
         fi }
     :: atomic {
-        /* An answer comes. */
+        /* An answer arrives. */
         number = 0;
         if
         :: question[0] == ANSWERED -> number = 0
@@ -167,7 +173,7 @@
         question[number] = IDLE; questionAge[number] = 0; toldRevision[number] = 0;
         toldAge[number] = 0; number = 0; age = 0; dated = 0 }
     :: atomic {
-        /* A question or its answer is lost, or its time is over. */
+        /* A question or its answer is lost, or the question times out. */
         question[0] != IDLE -> question[0] = IDLE; questionAge[0] = 0; toldRevision[0] = 0;
         toldAge[0] = 0 }
 #if QUESTIONS > 1
--- a/model/crashes.pml
+++ b/model/crashes.pml
@@ -1,36 +1,37 @@
 /* SPDX-License-Identifier: Apache-2.0
- * A task that crashes each worker that starts it, leaders that come and go, sidecars that tell of a
- * crash late, again, or to another leader. docs/MODEL.md maps it to the code.
+ * Models a task that crashes every worker that starts it. Leaders are replaced, and sidecars report
+ * a crash late, repeatedly or to another leader. docs/MODEL.md maps the model to the code.
  *
- * Checked: it is started five times at most, and given up only when three workers have crashed under it.
+ * Checked: the task is started at most five times, and is given up only after it has crashed three
+ * workers.
  *
  * Mutants (-D): MUTANT_COUNT_IN_MEMORY, MUTANT_FORGET_LAPSED, MUTANT_NO_WAIT, MUTANT_TOLD_TWICE,
  * MUTANT_COUNT_BEFORE_COMMIT.
  */
-#define MOST 5            /* crashes that are risked */
-#define LIVES 7           /* lives of workers, one a start */
+#define MOST 5            /* most crashes that are risked for a task */
+#define LIVES 7           /* incarnations of workers; each start uses another one */
 #define MAX_LEADERS 3
 
 #define WAITING 0
 #define PLACED 1
 #define GIVEN_UP 2
 
-/* What became of a life, as the task's record has it. */
+/* State of an incarnation in the record of the task. */
 #define UNKNOWN 0
-#define OPEN 1            /* its lease lapsed, no word of it */
+#define OPEN 1            /* its lease has lapsed and no report has arrived: unresolved */
 #define CRASHED 2
 
-/* The store. */
+/* The store: the record of the task. */
 byte recState = WAITING;
-byte recLife = 0;         /* the life to which the run is committed; lives count from 1 */
-byte recLoss[LIVES + 1];
+byte recLife = 0;         /* incarnation to which the run is committed, from 1; 0: none */
+byte recLoss[LIVES + 1];  /* state of each incarnation */
 
 
-/* The world. */
-byte starts = 0;
+/* The workers and the leadership. */
+byte starts = 0;          /* number of starts of the task */
 bool hasCrashed[LIVES + 1];
 bool isOrdered[LIVES + 1];
-byte leader = 1;          /* the one that may commit */
+byte leader = 1;          /* number of the gateway that may commit */
 
 #ifdef MUTANT_COUNT_IN_MEMORY
 #define LOSS memory
@@ -38,7 +39,7 @@
 #define LOSS recLoss
 #endif
 
-/* Losses on record that are at least so bad. */
+/* Counts the losses in the record of at least the given severity into `sum`. */
 inline countLosses(least) {
     sum = 0;
     i = 1;
@@ -54,7 +55,7 @@
     i = 0
 }
 
-/* Workers that have really crashed. */
+/* Asserts that at least three workers have actually crashed. */
 inline checkGivenUp() {
     sum = 0;
     i = 1;
@@ -66,8 +67,8 @@
     assert(sum >= 3)
 }
 
-/* A leader of this number; it ends when it is replaced. Its commits are atomic with its decisions: that
- * they may fail is in schedule.pml. */
+/* The leader with this number; ends when another gateway leads. Commits are atomic with the
+ * decisions here; schedule.pml models commits that fail. */
 proctype gateway(byte self) {
     byte i = 0;
     byte sum = 0;
@@ -97,12 +98,12 @@
         sum = 0 }
 
     :: atomic { leader == self && recState == PLACED && !isOrdered[recLife] ->
-        /* The order: the worker starts the task, and crashes. */
+        /* The order is executed: the worker starts the task and crashes. */
         isOrdered[recLife] = true; starts++; hasCrashed[recLife] = true;
         assert(starts <= MOST) }
 
     :: atomic { leader == self && recState == PLACED && isOrdered[recLife] ->
-        /* The lease lapses before anything is heard: the loss stays open. */
+        /* The lease lapses before a report arrives: the loss is unresolved. */
 #ifndef MUTANT_FORGET_LAPSED
         if
         :: LOSS[recLife] == UNKNOWN -> LOSS[recLife] = OPEN
@@ -112,7 +113,7 @@
         recLife = 0; recState = WAITING }
 
     :: atomic { leader == self && recState != GIVEN_UP ->
-        /* A sidecar tells of a crash, maybe not for the first time. */
+        /* A sidecar reports a crash, possibly repeatedly. */
         if
         :: told = 1
         :: told = 2
@@ -136,7 +137,7 @@
 #endif
             if
             :: sum >= 3 ->
-                /* Three at the start, one of them alone. */
+                /* Three crashes at the start, one of them with the task as sole suspect. */
                 recState = GIVEN_UP;
                 checkGivenUp()
             :: else -> skip
@@ -147,7 +148,7 @@
 
 #ifdef MUTANT_COUNT_BEFORE_COMMIT
     :: atomic { leader == self && recState == PLACED && !isOrdered[recLife] ->
-        /* Counts what was never carried out. */
+        /* Counts an order that was never executed. */
         LOSS[recLife] = CRASHED; recLife = 0; recState = WAITING;
         countLosses(CRASHED);
         if
@@ -159,6 +160,7 @@
     od
 }
 
+/* Replaces the leader. */
 active proctype world() {
     do
     :: atomic { leader < MAX_LEADERS -> leader++; run gateway(leader) }
--- a/model/evacuation.pml
+++ b/model/evacuation.pml
@@ -1,42 +1,42 @@
 /* SPDX-License-Identifier: Apache-2.0
- * A failure domain under evacuation: leaders that come and go, readings of the request that take any
- * time or fail, commits that are answered late, orders that get lost, that a sidecar goes on trying,
- * and that are sent again. Time passes in ticks of a fifth of the users' bound. docs/MODEL.md maps it
+ * Models the evacuation of a failure domain. Leaders are replaced. Reads of the request take any
+ * time or fail, commits are answered late, and orders get lost, are retried by the sidecar and are
+ * sent again. A tick is a fifth of the bound that operators rely on. docs/MODEL.md maps the model
  * to the code.
  *
- * Checked: no start in the domain once the bound has passed since the request was acknowledged, until
- * it is withdrawn.
+ * Checked: from the end of the bound after the request was acknowledged until the request is
+ * withdrawn, no run starts in the domain.
  *
  * Mutants (-D): MUTANT_PLACE_BEFORE_READING, MUTANT_NO_AGE, MUTANT_AGE_FROM_ANSWER,
  * MUTANT_SEND_UNCHECKED, MUTANT_RESEND_UNCHECKED, MUTANT_TRY_FOR_EVER.
  */
-#define BOUND 5           /* ticks */
-#define CERTAIN 3         /* a reading that was sent so long ago is still placed by */
-#define TRIES 1           /* so long a sidecar tries a start */
-#define NEVER 7           /* ages count no further */
+#define BOUND 5           /* the bound, in ticks */
+#define CERTAIN 3         /* largest age, in ticks, of a read that still permits placement */
+#define TRIES 1           /* ticks for which a sidecar retries a start */
+#define NEVER 7           /* largest age; ages saturate here */
 #define MAX_LEADERS 3
 #define MAX_REQUESTS 2
 
 #define WAITING 0
 #define COMMITTING 1      /* the store has not answered yet */
-#define KEPT 2            /* committed, and not sent */
+#define KEPT 2            /* committed, but not sent */
 #define SENT 3
 
-/* The store: ticks since the request was acknowledged, plus one; 0: there is none. */
+/* The store: ticks since the request was acknowledged, plus one; 0: there is no request. */
 byte request = 0;
 byte requests = 0;
 byte leader = 1;          /* the gateway that may commit */
-byte record = WAITING;    /* of the task; COMMITTING may be taken for either by a new leader */
+byte record = WAITING;    /* of the task; a new leader may find COMMITTING committed or not */
 
-/* The sidecar of a worker in the domain. */
+/* The sidecar of a worker in the domain: its order to start the task, and how long it retries. */
 bool hasOrder = false;
 byte orderAge = 0;
 
-/* What the leader knows. */
-byte knownAge = NEVER;    /* ticks since the last reading that was answered had been sent */
-bool isKnown = false;     /* that reading showed the request */
-byte readAge = NEVER;     /* of the reading under way; NEVER: none is */
-bool readShows = false;
+/* State of the leader. */
+byte knownAge = NEVER;    /* ticks since the last answered read was sent */
+bool isKnown = false;     /* that read returned the request */
+byte readAge = NEVER;     /* of the pending read; NEVER: none is pending */
+bool readShows = false;   /* the pending read will return the request */
 
 #ifdef MUTANT_NO_AGE
 #define IS_CERTAIN (knownAge < NEVER || knownOnce)
@@ -60,6 +60,7 @@
 #define MAY_RESEND MAY_PLACE
 #endif
 
+/* Increments an age up to NEVER. */
 inline grow(age) {
     if
     :: age < NEVER -> age++
@@ -67,13 +68,14 @@
     fi
 }
 
-/* A start that is still tried goes out, or is given up, before more time passes. */
+/* Before more time passes, a start that has reached its limit of retries is sent or given up. */
 #ifdef MUTANT_TRY_FOR_EVER
 #define MAY_PASS true
 #else
 #define MAY_PASS (!hasOrder || orderAge < TRIES)
 #endif
 
+/* Passage of time, the request and its withdrawal, and changes of the leader. */
 active proctype world() {
     do
     :: atomic { MAY_PASS ->
@@ -90,7 +92,7 @@
     :: atomic { request == 0 && requests < MAX_REQUESTS -> requests++; request = 1 }
     :: atomic { request > 0 -> request = 0 }
     :: atomic { leader < MAX_LEADERS ->
-        /* Another leads: it knows nothing, and the sidecar forgets what it was ordered. */
+        /* A new leader starts without state, and the sidecar drops its order. */
         leader++; hasOrder = false; orderAge = 0;
         knownAge = NEVER; isKnown = false; readAge = NEVER; readShows = false;
 #ifdef MUTANT_NO_AGE
@@ -107,11 +109,11 @@
 active proctype sidecar() {
     do
     :: atomic { hasOrder ->
-        /* The worker starts it; its end is kept at once. */
+        /* The worker starts the task; the end is persisted at once. */
         assert(request <= BOUND + 1);
         hasOrder = false; orderAge = 0; record = WAITING }
     :: atomic { hasOrder ->
-        /* Barred after the last try, or on the leader's word. */
+        /* The run is barred, after the last retry or on request of the leader. */
         hasOrder = false; orderAge = 0; record = WAITING }
     od
 }
@@ -120,7 +122,7 @@
     do
     :: atomic { readAge == NEVER -> readAge = 0; readShows = (request > 0) }
     :: atomic { readAge < NEVER ->
-        /* Answered. */
+        /* The read is answered. */
 #ifdef MUTANT_AGE_FROM_ANSWER
         knownAge = 0;
 #else
@@ -138,11 +140,11 @@
         :: MAY_SEND -> record = SENT; hasOrder = true; orderAge = 0
         :: else -> record = KEPT
         fi }
-    :: atomic { record == COMMITTING && MAY_SEND -> record = SENT /* and lost on its way */ }
+    :: atomic { record == COMMITTING && MAY_SEND -> record = SENT /* order lost in transit */ }
     :: atomic { record == SENT && !hasOrder && MAY_RESEND -> hasOrder = true; orderAge = 0 }
     :: atomic { record == KEPT && MAY_SEND -> record = SENT; hasOrder = true; orderAge = 0 }
     :: atomic { isKnown && (record == KEPT || record == SENT) ->
-        /* Taken back: a stop bars it. */
+        /* The run is revoked: a stop bars it. */
         hasOrder = false; orderAge = 0; record = WAITING }
     od
 }
--- a/model/intake.pml
+++ b/model/intake.pml
@@ -1,23 +1,24 @@
 /* SPDX-License-Identifier: Apache-2.0
- * One job, two gateways to which its caller hands it in, and an operator who takes the caller's key
- * away: a transaction that expects the configuration's revision and the job's absence, lost answers
- * and late writes. docs/MODEL.md maps it to the code.
+ * Models one job that its caller submits to two gateways, and an operator who revokes the caller's
+ * key. The transaction is conditional on the revision of the configuration and on the absence of
+ * the job. Answers get lost and writes are executed late. docs/MODEL.md maps the model to the code.
  *
- * Checked: a caller who was told only refusals (503) has a job that is not there and never will be;
- * one who was told 200 has a job that is there; no job whose key was taken away is accepted later.
+ * Checked: if the caller received only refusals (503), the job does not exist and never will. If
+ * the caller received 200, the job exists. No job is accepted after its key was revoked.
  *
  * Mutants (-D): MUTANT_NO_CONFIGURATION, MUTANT_REFUSE_UNKNOWN, MUTANT_ACCEPT_EARLY.
  */
-byte configuration = 1;   /* revision; from 2 on the key is gone */
-bool isThere = false;     /* the job's record */
-bool isLate[2];           /* a write that is done later, by gateway */
-byte lateExpects[2];
+byte configuration = 1;   /* revision; from 2 on the key is revoked */
+bool isThere = false;     /* the record of the job exists */
+bool isLate[2];           /* by gateway: a write that is executed later */
+byte lateExpects[2];      /* revision that the late write expects */
+/* Number of responses to the caller, by status. */
 byte told200 = 0;
 byte told503 = 0;
 byte told504 = 0;
-bool isOver[2];
+bool isOver[2];           /* by gateway: the caller has received a response */
 
-/* The store carries a transaction out, if its conditions hold. */
+/* The store executes a transaction if its conditions hold. */
 inline carryOut(expects, isTaken) {
     if
 #ifdef MUTANT_NO_CONFIGURATION
@@ -31,10 +32,12 @@
     fi
 }
 
+/* Revokes the key. */
 active proctype operator() {
     atomic { configuration = 2 }
 }
 
+/* The store executes late writes. */
 active proctype lateWrites() {
     bool isTaken;
     do
@@ -43,6 +46,7 @@
     od
 }
 
+/* Handles one submission of the job, with retries. */
 proctype gateway(byte me) {
     byte seen;
     bool isTaken = false;
@@ -52,7 +56,7 @@
     atomic { seen = configuration };
     if
     :: seen != 1 ->
-        /* The key is not known: 401. What an earlier try wrote may still be there. */
+        /* The key is unknown: 401. The record of an earlier attempt may still exist. */
         goto over
     :: else -> skip
     fi;
@@ -66,11 +70,11 @@
             :: !isTaken && !isThere && isUncertain -> goto unknown
             :: !isTaken && !isThere && !isUncertain -> goto again
             fi
-        :: true -> /* done, the answer is lost */
+        :: true -> /* executed, but the answer is lost */
             atomic { carryOut(seen, isTaken) };
             isUncertain = true
         :: atomic { !isLate[me] -> isLate[me] = true; lateExpects[me] = seen }; isUncertain = true
-        :: skip -> /* refused: surely not done */
+        :: skip -> /* refused: certainly not executed */
             if
             :: isUncertain -> skip
             :: else -> goto refused
@@ -103,7 +107,7 @@
     };
     atomic {
         isOver[0] && isOver[1] && !isLate[0] && !isLate[1] ->
-        /* Only refusals: it is not there, and nothing that is under way can bring it. */
+        /* After refusals only, the job does not exist and no pending write can create it. */
         assert(!(told503 == 2 && isThere))
     }
 }
--- a/model/restart.pml
+++ b/model/restart.pml
@@ -1,20 +1,22 @@
 /* SPDX-License-Identifier: Apache-2.0
- * A worker that starts again under the id that it had, its sidecar (which may be restarted too), and the leader's
- * record of one task, which can run on this worker or elsewhere. Calls whose answer was lost arrive later, over the
- * restart. docs/MODEL.md maps it to the code.
+ * Models a worker that restarts under the same id, its sidecar (which may be restarted too), and
+ * the leader's record of one task, which can run on this worker or elsewhere. Calls whose answer
+ * was lost may arrive after the restart. docs/MODEL.md maps the model to the code.
  *
- * Checked: the task never runs twice at once, never begins after a good end that the worker was told to forget, and no
- * end is forgotten that the leader has not heard.
+ * Checked: the task never has two runs at once and never starts after a successful end that the
+ * worker was told to forget, and the worker forgets no end that the leader has not received.
  *
- * Assumed: a restart is noticed, since a call breaks off or is refused; a worker does not restart and end a task within one call on its own machine; a start arrives once, at once or
- * late; a late one does not arrive at a process that nobody has called yet unless its run is still held there. Without the
- * last (-DLATE_BEFORE_FIRST_CALL) there is a counterexample: nothing that a caller of the worker can say reaches the next
- * process before its own first call.
+ * Assumed: the sidecar detects a restart, because a call breaks off or is refused. A worker does
+ * not restart and end a task within a single call on its own machine. A start arrives once, at once
+ * or late. A late start does not arrive at a process that has not been called yet, unless its run
+ * is still committed to the worker. Without this last assumption (-DLATE_BEFORE_FIRST_CALL) there
+ * is a counterexample: a caller of the worker has no means to fence the next process before the
+ * first call to that process.
  *
- * Mutants (-D): MUTANT_ID_ALONE, MUTANT_LEDGER_BY_ID, MUTANT_NO_FENCE, MUTANT_NO_ADOPTION, MUTANT_LOSE_BEFORE_REPORT,
- * MUTANT_ACKNOWLEDGE_UNSEEN.
+ * Mutants (-D): MUTANT_ID_ALONE, MUTANT_LEDGER_BY_ID, MUTANT_NO_FENCE, MUTANT_NO_ADOPTION,
+ * MUTANT_LOSE_BEFORE_REPORT, MUTANT_ACKNOWLEDGE_UNSEEN.
  */
-/* An id is taken for one process, and the holds of before go on. */
+/* The id alone identifies the process, and earlier holds continue after a restart. */
 #ifdef MUTANT_ID_ALONE
 #define MUTANT_ACKNOWLEDGE_UNSEEN
 #endif
@@ -28,41 +30,41 @@
 #define ELSEWHERE 2
 #define DONE 3
 
-/* The worker. All but `process` begins anew with each process. */
+/* The worker. Each new process resets everything but `process`. */
 byte process = 1;
-byte runs = 0;             /* the run that works there; 0: none */
-byte barred = 0;           /* runs up to this one never begin there */
-byte fence = 0;
-byte ends = 1;             /* numbers ends; the first process had one of another task */
-byte listedNumber = 0;     /* an end that it lists; 0: none */
+byte runs = 0;             /* the run on this worker; 0: none */
+byte barred = 0;           /* runs up to this number never start here */
+byte fence = 0;            /* highest fence of an accepted call */
+byte ends = 1;             /* number of the last end; process 1 has had one, of another task */
+byte listedNumber = 0;     /* number of the end that the worker lists; 0: none */
 byte listedRun = 0;
 
-byte runsElse = 0;         /* the run that works on another worker */
+byte runsElse = 0;         /* the run on another worker; 0: none */
 
-/* Calls that arrive late, at whatever process is there then. */
+/* Calls that arrive late, at the process that exists by then. */
 byte lateStart = 0;
 byte lateStartFence = 0;
 byte lateSeen = 0;
 byte lateSeenFence = 0;
 
 /* The sidecar. */
-byte known = 1;            /* the process that it has to do with; 0: not yet known */
+byte known = 1;            /* the process that it addresses; 0: not yet known */
 byte mine = 1;             /* the fence of its calls */
-byte kept = 1;             /* ends of that process that are kept */
-bool mustTell = false;     /* ... and that it has not been told yet */
+byte kept = 1;             /* ends of that process up to this number are persisted */
+bool mustTell = false;     /* the worker has not been told so yet */
 byte sidecars = 0;
 bool isBroken = false;     /* a call has failed since the last answer */
 
-/* The leader. What it commits is in the store: that this may fail is in schedule.pml. */
+/* The leader. Its commits always succeed here; schedule.pml models commits that fail. */
 byte record = WAITING;
 byte recordRun = 0;
-byte recordProcess = 0;
-bool isOrdered = false;
-byte reported = 1;         /* the process whose report it has */
-byte ledger = 1;           /* the highest end that it has seen of that process, or of the id */
+byte recordProcess = 0;    /* the process to which the run is committed */
+bool isOrdered = false;    /* the start has been sent */
+byte reported = 1;         /* the process of the last report */
+byte ledger = 1;           /* highest end received from that process (or id, in a mutant) */
 
-bool isCounted = false;    /* a good end was heard */
-byte heardRun = 0;         /* the run whose end was heard last */
+bool isCounted = false;    /* a successful end was received */
+byte heardRun = 0;         /* the run whose end was received last */
 
 #ifdef MUTANT_ID_ALONE
 #define IS_OTHER false
@@ -70,6 +72,7 @@
 #define IS_OTHER (process != known)
 #endif
 
+/* The worker executes a start if the fence permits, the run is not barred and no run is active. */
 inline begin(number, callFence) {
     if
     :: callFence >= fence && number > barred && runs == 0 ->
@@ -81,14 +84,14 @@
     fi
 }
 
-/* An acknowledgement of ends up to a number. */
+/* The worker executes the acknowledgement of ends up to a number. */
 inline forget(number, callFence) {
     if
     :: callFence >= fence ->
         fence = callFence;
         if
         :: listedNumber != 0 && listedNumber <= number ->
-            /* Whoever forgets it must have been told by somebody who heard it. */
+            /* Only an end that the leader has received may be forgotten. */
             assert(listedRun == heardRun);
             listedNumber = 0; listedRun = 0
         :: else -> skip
@@ -97,6 +100,7 @@
     fi
 }
 
+/* Ends runs, restarts, and receives late calls. */
 active proctype worker() {
     do
     :: atomic { runs != 0 ->
@@ -121,7 +125,7 @@
     od
 }
 
-/* What the leader makes of a report of the process that the sidecar knows. */
+/* The leader handles a report of the process that the sidecar addresses. */
 inline report() {
     if
     :: reported != known ->
@@ -148,22 +152,24 @@
         fi
     :: else -> skip
     fi;
-    /* What another process held, and this one does not list, is lost. */
+    /* A run of another process that this process does not list is lost. */
     if
     :: record == HERE && recordProcess != known -> record = WAITING
     :: else -> skip
     fi;
-    /* All that it has seen is kept. */
+    /* All ends received so far are persisted. */
     if
     :: ledger > kept -> kept = ledger; mustTell = true
     :: else -> skip
     fi
 }
 
+/* Polls the worker, forwards orders and acknowledgements, and may be restarted. */
 active proctype sidecar() {
     do
     :: atomic { mine < 12 ->
-        /* A hold that is answered; under another process it is only found out, and asked again. */
+        /* A hold is answered. From another process, the answer only reveals the restart, and the
+         * hold is repeated. */
 #ifndef MUTANT_NO_FENCE
         if
         :: isBroken -> mine++; isBroken = false
@@ -196,7 +202,7 @@
 #endif
         fi }
 #ifdef MUTANT_ACKNOWLEDGE_UNSEEN
-    /* The holds of before go on, whoever is there. */
+    /* Earlier holds continue, whichever process answers. */
     :: atomic { kept != 0 && mine >= fence -> forget(kept, mine) }
 #endif
     :: atomic { record == HERE && !isOrdered && recordProcess == known && mine >= fence ->
@@ -207,18 +213,19 @@
         fi }
     :: atomic { record == HERE && isOrdered && recordProcess == known && !IS_OTHER && mine >= fence &&
                 runs != recordRun && listedRun != recordRun ->
-        /* The order's answer was lost: the run is barred, and a look shows that it is not there. */
+        /* The answer to the order was lost: the run is barred, and the worker does not list it. */
         fence = mine;
         if
         :: recordRun > barred -> barred = recordRun; record = WAITING
         :: else -> skip
         fi }
     :: atomic { sidecars < MAX_SIDECARS ->
-        /* It is restarted: it knows nothing, and its link has the next number. */
+        /* The sidecar restarts without state, and its link gets a higher fence. */
         sidecars++; known = 0; kept = 0; mustTell = false; mine = mine + 2; reported = 0 }
     od
 }
 
+/* Places the task on this worker or elsewhere. */
 active proctype leader() {
     do
     :: atomic { record == WAITING && recordRun < MAX_RUNS && reported != 0 && reported == known ->
--- a/model/schedule.pml
+++ b/model/schedule.pml
@@ -1,20 +1,21 @@
 /* SPDX-License-Identifier: Apache-2.0
- * One task, two gateways that may lead, two workers: leader key and conditional transactions, late
- * writes, starts without an answer, leases counted from the asking, ends acknowledged after the
- * commit, runs barred by a stop. docs/MODEL.md maps it to the code.
+ * Models one task, two gateways that may lead and two workers: the leader key and conditional
+ * transactions, late writes, starts without an answer, leases that count from the request, ends
+ * that are acknowledged after the commit, and runs that are barred by a stop. docs/MODEL.md maps
+ * the model to the code.
  *
- * Checked: the task never runs twice at once, and no run starts after an end that the worker was
- * told to forget (the end is then taken for good).
+ * Checked: the task never has two runs at once, and no run starts after the worker was told to
+ * forget an end (the end is final then).
  *
  * Mutants (-D): MUTANT_NO_EPOCH, MUTANT_NO_LEASE_WAIT, MUTANT_GRANT_FROM_ARRIVAL, MUTANT_NO_BAR,
  * MUTANT_ACK_BEFORE_COMMIT, MUTANT_ORDER_BEFORE_COMMIT, MUTANT_START_WITHOUT_END,
  * MUTANT_STALE_ORDER, MUTANT_NO_GRACE_WAIT, MUTANT_STEADY_CLOCK.
  */
 #ifndef MAX_LAPSES
-#define MAX_LAPSES 2      /* of the leader key */
+#define MAX_LAPSES 2      /* lapses of the leader key */
 #endif
 #ifndef MAX_CUTS
-#define MAX_CUTS 1        /* of a worker's lease */
+#define MAX_CUTS 1        /* lapses of a worker's lease */
 #endif
 #ifndef MAX_RUNS
 #define MAX_RUNS 3
@@ -23,14 +24,14 @@
 #define MAX_EPOCHS 3
 #endif
 
-/* The worker obeys this leader, or earlier leaders have fallen silent. */
+/* The worker has accepted this leader, or earlier leaders grant no leases any more. */
 #ifdef MUTANT_NO_GRACE_WAIT
 #define NOBODY_ELSE_GRANTS true
 #else
 #define NOBODY_ELSE_GRANTS (fence[w] == epoch || silentTo + 1 >= epoch)
 #endif
 
-/* So much time has passed that the worker's lease has lapsed, by the leader's clock. */
+/* By the leader's clock, the worker's lease has lapsed. */
 #ifdef MUTANT_STEADY_CLOCK
 #define HAS_LAPSED (!lease[w] || isSuspended[w])
 #else
@@ -43,38 +44,38 @@
 
 /* The store. */
 byte keyEpoch = 0;        /* epoch of the leader key; 0: it has lapsed */
-byte nextEpoch = 1;
+byte nextEpoch = 1;       /* epoch of the next leader */
 byte rev = 0;             /* revision of the task's record */
 byte recState = WAITING;
 byte recRun = 0;
 byte recWorker = 0;
 
 /* The workers. */
-byte runs[2];             /* run that works there; 0: none */
-byte bar[2];              /* runs up to this one never start there */
-byte fence[2];
-byte ended[2];            /* run that ended well there and is still listed */
-bool lease[2];            /* the worker may number tasks */
-byte round[2];            /* counts lapses: a grant that was asked for in an earlier one is void */
-byte lateRun[2];          /* a start that is carried out later; 0: none */
-byte lateEpoch[2];
-byte lateRound[2];        /* a start says until when it may number: it is void after that lease */
-byte waitRun[2];          /* an order that its sidecar could not carry out for want of a lease */
+byte runs[2];             /* run on the worker; 0: none */
+byte bar[2];              /* runs up to this number never start on the worker */
+byte fence[2];            /* highest epoch that the worker has accepted */
+byte ended[2];            /* run that succeeded on the worker and is still listed */
+bool lease[2];            /* the worker holds a lease and may run tasks */
+byte round[2];            /* number of lapses; a grant requested in an earlier round is void */
+byte lateRun[2];          /* a start that is executed later; 0: none */
+byte lateEpoch[2];        /* epoch of the leader that sent the late start */
+byte lateRound[2];        /* a start is valid only for the lease of its round */
+byte waitRun[2];          /* an order that the sidecar cannot execute without a lease */
 byte waitEpoch[2];
-byte grantRound[2];       /* a grant on its way, by the round of its asking */
+byte grantRound[2];       /* the round in which the grant in transit was requested */
 byte grantEpoch[2];
 bool grantIsOnItsWay[2];
-byte silentTo = 0;        /* leaders up to this epoch have been without the store for so long that
-                           * they grant nothing any more */
-bool isForgotten = false; /* a worker was told to forget a good end */
+byte silentTo = 0;        /* leaders up to this epoch have had no contact with the store for so
+                           * long that they grant no leases any more */
+bool isForgotten = false; /* a worker was told to forget a successful end */
 
 byte lapses = 0;
 byte cuts = 0;
 #ifdef MUTANT_STEADY_CLOCK
-bool isSuspended[2];      /* its sidecar's machine was suspended for longer than the lease */
+bool isSuspended[2];      /* the sidecar's machine was suspended for longer than the lease */
 #endif
 
-/* A worker carries a start out. */
+/* A worker executes a start if epoch, bar and lease permit. */
 inline begin(w, number, epoch, until) {
     if
 #ifdef MUTANT_START_WITHOUT_END
@@ -90,6 +91,7 @@
     fi
 }
 
+/* Each worker ends its run and executes late starts. */
 active proctype worker0() {
     do
     :: atomic { runs[0] != 0 -> ended[0] = runs[0]; bar[0] = runs[0]; runs[0] = 0 }
@@ -104,17 +106,18 @@
     od
 }
 
-/* What goes wrong, and renewals. */
+/* Faults and the arrival of grants. */
 active proctype world() {
     do
     :: atomic { keyEpoch != 0 && lapses < MAX_LAPSES -> lapses++; keyEpoch = 0 }
     :: atomic { cuts < MAX_CUTS && lease[0] ->
-        /* The lease ends: the worker kills what runs, whatever anybody thinks. */
+        /* The lease lapses: the worker kills its run, regardless of what other processes assume. */
         cuts++; lease[0] = false; runs[0] = 0; round[0]++ }
 #ifdef MUTANT_STEADY_CLOCK
     :: atomic { cuts < MAX_CUTS && lease[0] ->
-        /* Its clock stood still meanwhile: it goes on renewing the worker by the lease of before. With a
-         * clock that counts suspensions this is the lapse above. */
+        /* The clock of the sidecar did not advance during the suspension, so the sidecar continues
+         * to renew the worker under the earlier lease. With a clock that counts suspensions, the
+         * lapse above occurs instead. */
         cuts++; isSuspended[0] = true }
 #endif
     :: atomic { grantIsOnItsWay[0] ->
@@ -127,7 +130,7 @@
         :: else -> skip
 #endif
         fi;
-        /* The lease was lost with the link: orders of the old link are forgotten. */
+        /* The lease was lost together with the link: orders of the old link are dropped. */
 #ifdef MUTANT_STALE_ORDER
         if
         :: waitRun[0] != 0 -> begin(0, waitRun[0], waitEpoch[0], round[0])
@@ -139,7 +142,8 @@
     od
 }
 
-/* Commits a change of the record if its conditions hold; sets `isTaken`. Use it in an atomic. */
+/* Commits a change of the record if its conditions hold and sets `isTaken`. To be used in an
+ * atomic block. */
 inline commit(newState, newRun, newWorker) {
     if
 #ifdef MUTANT_NO_EPOCH
@@ -155,7 +159,7 @@
     fi
 }
 
-/* After a commit: goes on with the new state, or is no leader any more. */
+/* Continues with the new state after a successful commit; otherwise gives up leadership. */
 inline goOn(newState) {
     if
     :: isTaken -> state = newState
@@ -164,6 +168,7 @@
     isTaken = false
 }
 
+/* A gateway that may lead: acquires the leader key, places the task and handles its end. */
 proctype gateway() {
     byte epoch = 0;
     byte seen = 0;
@@ -175,12 +180,12 @@
     bool isOrdered = false;
     do
     :: atomic { epoch == 0 && keyEpoch == 0 && nextEpoch <= MAX_EPOCHS ->
-        /* The key is taken only where there is none. */
+        /* The key is acquired only if it does not exist. */
         epoch = nextEpoch; nextEpoch++; keyEpoch = epoch };
         atomic { seen = rev; state = recState; number = recRun; w = recWorker; isOrdered = false }
 
     :: atomic { epoch != 0 && state == WAITING && number < MAX_RUNS ->
-        /* Place it: commit first... */
+        /* Placement: commit first... */
         if
         :: target = 0
         :: target = 1
@@ -195,7 +200,7 @@
 
     :: atomic { epoch != 0 && state == PLACED && !isOrdered && ended[w] != number &&
                 runs[w] != number ->
-        /* ...and then order. Carried out now, or without an answer and later. */
+        /* ...then send the order, which is executed now, or later and without an answer. */
         isOrdered = true;
         if
         :: lease[w] -> begin(w, number, epoch, round[w])
@@ -210,9 +215,9 @@
         atomic { commit(DONE, number, w); goOn(DONE) }
 #else
     :: atomic { epoch != 0 && state == PLACED && ended[w] == number && number != 0 ->
-        /* A good end: kept... */
+        /* A successful end: persist it first... */
         commit(DONE, number, w); goOn(DONE) };
-        /* ...and only then forgotten by the worker. */
+        /* ...then let the worker forget it. */
         atomic {
             if
             :: epoch != 0 -> ended[w] = 0; isForgotten = true
@@ -222,7 +227,7 @@
 
     :: atomic { epoch != 0 && state == PLACED && isOrdered && runs[w] != number &&
                 ended[w] != number && lease[w] && epoch >= fence[w] ->
-        /* Nothing is heard of the start: bar it... */
+        /* The start is not confirmed: bar the run... */
 #ifndef MUTANT_NO_BAR
         fence[w] = epoch;
         if
@@ -237,7 +242,7 @@
         skip
 #endif
         };
-        /* ...look again, and place it anew. */
+        /* ...check the worker again, and place the task anew. */
         atomic {
             if
             :: ended[w] == number || runs[w] == number -> skip
@@ -250,12 +255,12 @@
     :: atomic { epoch != 0 && state == PLACED && HAS_LAPSED && NOBODY_ELSE_GRANTS ->
         round[w]++;
 #endif
-        /* So much time has passed that the worker's lease has surely lapsed: what ran there runs no
-         * more; a start that is still on its way, and a grant that was asked for before, are void. */
+        /* So much time has passed that the worker's lease has certainly lapsed: its run has ended,
+         * and starts in transit and grants that were requested before are void. */
         commit(WAITING, number, w); goOn(WAITING) }
 
     :: atomic { epoch > silentTo && !lease[0] && !grantIsOnItsWay[0] && epoch >= fence[0] ->
-        /* A sidecar asks, the leader grants; the grant may be long on its way. */
+        /* A sidecar requests a lease and the leader grants it; the grant may arrive late. */
         fence[0] = epoch; grantEpoch[0] = epoch;
         grantRound[0] = round[0]; grantIsOnItsWay[0] = true }
 
--- a/test/process/demo.sh
+++ b/test/process/demo.sh
@@ -1,15 +1,19 @@
 #!/usr/bin/env bash
-# The whole path with real processes on loopback: callers' jobs, operators' statements, a gang and
-# a guarantee. Stops by itself; the exit status is not zero if any step failed.
+# Demonstrates pierbank with real processes on loopback: jobs from callers, statements of operators,
+# a gang and a guarantee. Exits with a status other than zero if a step fails.
+# usage: demo.sh BUILD_FOLDER
 set -euo pipefail
 BIN=${1:?the build folder}
 source "$(dirname "$0")/lib.sh"
 
+# step TITLE : prints a heading.
 step() { printf '\n== %s\n' "$*"; }
+# run STATEMENT : prints and runs an operator's statement at gateway 1.
 run() {
     printf '$ pierbank %q\n' "$1"
     pb 1 "$1"
 }
+# run_refused STATEMENT : the same for a statement that must be refused with exit status 1.
 run_refused() {
     printf '$ pierbank %q\n' "$1"
     local status=0
--- a/test/process/lib.sh
+++ b/test/process/lib.sh
@@ -1,5 +1,6 @@
-# Helpers for scripts that run pierbank's real processes on loopback. Source it.
-# Every process started here is ended by its id at exit.
+# Shell functions for scripts that run pierbank as real processes on loopback. To be sourced, with
+# BIN set to the build folder. Uses ports from BASE_PORT on. At exit all started processes are
+# killed by their ids and the logs are removed; after a failure the last log lines are printed.
 
 BIN=${BIN:?the build folder}
 WORK=$(mktemp -d)
@@ -26,31 +27,33 @@
 }
 trap cleanup EXIT
 
-# start NAME COMMAND... : runs a process in the background, its output in NAME.log.
+# start NAME COMMAND... : runs a process in the background with its output in NAME.log.
 start() {
     local name=$1
     shift
     "$@" >>"$WORK/$name.log" 2>&1 &
-    # In a file: processes that a subshell starts are ended too.
+    # The ids are kept in a file, because a variable set in a subshell would be lost at cleanup.
     echo "$!" >>"$WORK/pids"
     echo "$!" >"$WORK/$name.pid"
 }
 
+# pid_of NAME : prints the id of the process that was last started under the name.
 pid_of() { cat "$WORK/$1.pid"; }
 
-# until_true SECONDS COMMAND... : waits for a condition; fails when it does not come true.
+# until_true SECONDS COMMAND... : repeats the command until it succeeds; fails after the timeout.
 until_true() {
     local end=$((SECONDS + $1))
     shift
     until "$@" >/dev/null 2>&1; do
         if ((SECONDS >= end)); then
-            echo "gave up waiting for: $*" >&2
+            echo "timed out waiting for: $*" >&2
             return 1
         fi
         sleep 0.05
     done
 }
 
+# Addresses of the endpoints of gateway, worker or sidecar number N.
 front_of() { echo "127.0.0.1:$((BASE_PORT + 100 + $1))"; }
 ready_of() { echo "127.0.0.1:$((BASE_PORT + 200 + $1))"; }
 operators_of() { echo "127.0.0.1:$((BASE_PORT + 300 + $1))"; }
@@ -58,9 +61,10 @@
 worker_of() { echo "127.0.0.1:$((BASE_PORT + 500 + $1))"; }
 beats_of() { echo "127.0.0.1:$((BASE_PORT + 600 + $1))"; }
 links_of() { echo "127.0.0.1:$((BASE_PORT + 700 + $1))"; }
-# worker_name N : the worker's name in the language.
+# worker_name N : prints the name of the worker as operators' statements use it.
 worker_name() { echo "127.0.0.1-$((BASE_PORT + 700 + $1))"; }
 
+# Starts the simulated store and four simulated workers in two racks and two failure domains.
 start_standins() {
     start standin "$BIN/test/pierbank-standin" --store "$STORE" \
         --worker "w1,$(worker_of 1),$(beats_of 1),r1,hall-a" \
@@ -70,9 +74,11 @@
     until_true 20 store_answers
 }
 store_answers() { curl -fsS -m 2 "http://$STORE/-/kv-range?path_prefix=x"; }
+# fault NAME=VALUE : sets a fault of the simulated store.
 fault() { curl -fsS -X POST "http://$STORE/fault?$1" >/dev/null; }
 
-# configure VERSION [KEY] : writes the platform's configuration, as its operators do.
+# configure VERSION [KEY] : writes the platform's configuration, with KEY as the API key of
+# organisation factoring.
 configure() {
     curl -fsS -X PUT "http://$STORE/operator?key=op/config" >/dev/null -d '{
         "version": '"$1"',
@@ -86,6 +92,7 @@
             {"name": "forecast", "api_keys": ["key-of-forecast"], "guaranteed": {"gpu": 8}}]}'
 }
 
+# start_gateway N : writes the settings of the gateway and starts it.
 start_gateway() {
     cat >"$WORK/gateway$1.ini" <<INI
 [gateway]
@@ -103,6 +110,7 @@
     start "gateway$1" "$BIN/tools/pierbank-gateway" --settings "$WORK/gateway$1.ini"
 }
 
+# start_sidecar N : writes the settings of the sidecar of worker N and starts it.
 start_sidecar() {
     cat >"$WORK/sidecar$1.ini" <<INI
 [sidecar]
@@ -116,30 +124,33 @@
     start "sidecar$1" "$BIN/tools/pierbank-sidecar" --settings "$WORK/sidecar$1.ini"
 }
 
-# pb GATEWAY_NUMBER STATEMENT : the command line as operator alice.
+# pb GATEWAY_NUMBER STATEMENT : runs a statement through the command-line tool as operator alice.
 pb() { "$BIN/tools/pierbank" --gateway "$(operators_of "$1")" --token "$ALICE" "$2"; }
 
-# health_has GATEWAY_NUMBER TEXT
+# health_has GATEWAY_NUMBER TEXT : true if the health report of the gateway contains the text.
 health_has() { curl -fsS "http://$(operators_of "$1")/pierbank/v1/health" | grep -q "$2"; }
 
-# job_is GATEWAY_NUMBER NAME STATE
+# job_is GATEWAY_NUMBER NAME STATE : true if the gateway shows the job in the state.
 job_is() { pb "$1" "show jobs where name = $2 and state = $3" | grep -q "$2"; }
 
-# worker_is GATEWAY_NUMBER WORKER_NUMBER STATE
+# worker_is GATEWAY_NUMBER WORKER_NUMBER STATE : true if the gateway shows the worker in the state.
 worker_is() {
     pb "$1" "show workers where name = $(worker_name "$2") and state = $3" |
         grep -q "$(worker_name "$2")"
 }
 
-# call GATEWAY_NUMBER METHOD PATH [CURL OPTIONS...] : a caller's request; prints the answer.
+# call GATEWAY_NUMBER METHOD PATH [CURL OPTIONS...] : sends a request as a caller and prints the
+# response.
 call() {
     local gateway=$1 method=$2 path=$3
     shift 3
     curl -sS -m 5 -X "$method" -H 'Host: jobs' -H "X-Api-Key: $KEY" "$@" \
         "http://$(front_of "$gateway")$path"
 }
-# status_of GATEWAY_NUMBER METHOD PATH [CURL OPTIONS...] : the same, its status only.
+# status_of GATEWAY_NUMBER METHOD PATH [CURL OPTIONS...] : the same, but prints the HTTP status
+# only.
 status_of() { call "$@" -o /dev/null -w '%{http_code}'; }
-# job MILLISECONDS [ACCELERATORS] : the body of a job of one task.
+# job MILLISECONDS [ACCELERATORS] : prints the request body of a job with one task of that run time.
 job() { echo "{\"spec\":\"$1\",\"steps\":[{\"count\":1,\"cpu\":1000,\"gpu\":${2:-1},\"est_ms\":$1}]}"; }
+# state_is GATEWAY_NUMBER PATH STATE : true if the gateway reports the state for the job.
 state_is() { call "$1" GET "$2" | grep -q "\"$3\""; }
--- a/test/soak/Callers.cpp
+++ b/test/soak/Callers.cpp
@@ -9,11 +9,15 @@
 namespace {
 
 constexpr Millis CALL_TIMEOUT{3000};
-constexpr Millis RETRY_PAUSE{400};
+constexpr Millis RETRY_DELAY{400};
 constexpr unsigned MAX_TRIES = 5;
-/** A key that was taken away longer ago is served nowhere (users' bound, and a little more). */
-constexpr Millis REVOKE_BOUND{5500};
+/**
+ * Time after which no gateway may serve a revoked key: the bound required by the platform's
+ * contract plus a small margin.
+ */
+constexpr Millis MAX_REVOCATION_DELAY{5500};
 
+/** Returns the number as a job id: decimal, padded with zeros to 16 digits. */
 std::string makeId(std::uint64_t number) {
     constexpr std::size_t DIGITS = 16;
     std::string id(DIGITS, '0');
@@ -21,7 +25,8 @@
     return id.replace(DIGITS - digits.size(), digits.size(), digits);
 }
 
-bool isUnknown(std::uint32_t status) {
+/** True if the job may or may not have been accepted: no response, 502 or a timeout. */
+bool isOutcomeUnknown(std::uint32_t status) {
     return status == 0 || status == HTTP_BAD_GATEWAY || status == HTTP_TIMEOUT;
 }
 
@@ -37,14 +42,14 @@
 
 void Callers::setKey(std::string key) {
     if (!m_key.empty()) {
-        m_retired.push_back({m_key, m_loop.now()});
+        m_revokedKeys.push_back({m_key, m_loop.now()});
     }
     m_key = std::move(key);
 }
 
 void Callers::start() {
-    submitSoon();
-    askSoon();
+    scheduleSubmission();
+    schedulePolling();
 }
 
 HttpCall Callers::makeCall(const std::string& method, const std::string& target,
@@ -60,20 +65,20 @@
     return call;
 }
 
-void Callers::submitSoon() {
+void Callers::scheduleSubmission() {
     const Millis pause(60 + static_cast<std::int64_t>(m_random.below(240)));
     m_loop.callLater(pause, [this, alive = std::weak_ptr(m_isAlive)] {
         if (alive.expired() || m_isStopped) {
             return;
         }
         submitOne();
-        submitSoon();
+        scheduleSubmission();
     });
 }
 
 void Callers::submitOne() {
     SoakJob job;
-    job.m_id = makeId(m_next++);
+    job.m_id = makeId(m_nextNumber++);
     const std::uint64_t kind = m_random.below(10);
     job.m_queue = kind == 0 ? "/poison/" : kind <= 2 ? "/urgent/" : "/batch/";
     job.m_isPoison = kind == 0;
@@ -107,56 +112,56 @@
     m_client.send(call,
                   [this, id, tries, alive = std::weak_ptr(m_isAlive)](const HttpResult& result) {
                       if (!alive.expired()) {
-                          handleSent(id, tries, result.m_isRefused ? 0 : result.m_status);
+                          handleSubmitResult(id, tries, result.m_isRefused ? 0 : result.m_status);
                       }
                   });
 }
 
-void Callers::handleSent(const std::string& id, unsigned tries, std::uint32_t status) {
+void Callers::handleSubmitResult(const std::string& id, unsigned tries, std::uint32_t status) {
     SoakJob& job = m_promises.getJobs().at(id);
-    m_promises.noteSubmitted(job, status);
-    // Sometimes also after its acceptance: it stays one job.
-    const bool isAgain = status == HTTP_OK ? m_random.below(12) == 0 : true;
-    const unsigned most = isUnknown(status) ? 2 * MAX_TRIES : MAX_TRIES;
-    if (!isAgain || tries >= most || job.m_isCancelRequested) {
+    m_promises.recordSubmission(job, status);
+    // Some accepted jobs are submitted again as well: a repeated id must not create a second job.
+    const bool shouldResend = status == HTTP_OK ? m_random.below(12) == 0 : true;
+    const unsigned maxTries = isOutcomeUnknown(status) ? 2 * MAX_TRIES : MAX_TRIES;
+    if (!shouldResend || tries >= maxTries || job.m_isCancelRequested) {
         return;
     }
-    m_loop.callLater(RETRY_PAUSE, [this, id, tries, alive = std::weak_ptr(m_isAlive)] {
+    m_loop.callLater(RETRY_DELAY, [this, id, tries, alive = std::weak_ptr(m_isAlive)] {
         if (!alive.expired()) {
             send(id, tries + 1);
         }
     });
 }
 
-void Callers::askSoon() {
+void Callers::schedulePolling() {
     constexpr Millis INTERVAL{150};
     m_loop.callLater(INTERVAL, [this, alive = std::weak_ptr(m_isAlive)] {
         if (alive.expired()) {
             return;
         }
-        std::vector<std::string> open;
+        std::vector<std::string> candidates;
         for (const auto& [id, job] : m_promises.getJobs()) {
-            if (job.m_isAccepted && (!job.m_isToldOver || m_random.below(200) == 0)) {
-                open.push_back(id);
+            if (job.m_isAccepted && (!job.m_isReportedFinished || m_random.below(200) == 0)) {
+                candidates.push_back(id);
             }
         }
-        constexpr std::size_t AT_ONCE = 6;
-        for (std::size_t i = 0; i < AT_ONCE && !open.empty(); ++i) {
-            askState(open[m_random.below(open.size())]);
+        constexpr std::size_t POLLS_PER_ROUND = 6;
+        for (std::size_t i = 0; i < POLLS_PER_ROUND && !candidates.empty(); ++i) {
+            pollState(candidates[m_random.below(candidates.size())]);
         }
-        probeRetired();
-        askSoon();
+        probeRevokedKeys();
+        schedulePolling();
     });
 }
 
-void Callers::askState(const std::string& id) {
+void Callers::pollState(const std::string& id) {
     SoakJob& job = m_promises.getJobs().at(id);
     m_client.send(makeCall("GET", job.m_queue + id, pickGateway(), m_key),
-                  [this, &job, askedAt = m_loop.now(),
+                  [this, &job, requestedAt = m_loop.now(),
                    alive = std::weak_ptr(m_isAlive)](const HttpResult& result) {
                       if (!alive.expired()) {
-                          m_promises.noteState(job, result.m_status, result.m_body, askedAt,
-                                               m_loop.now());
+                          m_promises.recordState(job, result.m_status, result.m_body, requestedAt,
+                                                 m_loop.now());
                       }
                   });
 }
@@ -171,10 +176,10 @@
                       if (alive.expired()) {
                           return;
                       }
-                      m_promises.noteCancelled(m_promises.getJobs().at(id), result.m_status,
-                                               wasAccepted);
+                      m_promises.recordCancellation(m_promises.getJobs().at(id), result.m_status,
+                                                    wasAccepted);
                       if (result.m_status != HTTP_OK && tries < MAX_TRIES) {
-                          m_loop.callLater(RETRY_PAUSE, [this, id, tries, alive] {
+                          m_loop.callLater(RETRY_DELAY, [this, id, tries, alive] {
                               if (!alive.expired()) {
                                   cancel(id, tries + 1);
                               }
@@ -183,17 +188,17 @@
                   });
 }
 
-void Callers::probeRetired() {
-    for (const RetiredKey& retired : m_retired) {
-        if (m_loop.now() - retired.m_at < REVOKE_BOUND || m_random.below(6) != 0) {
+void Callers::probeRevokedKeys() {
+    for (const RevokedKey& revoked : m_revokedKeys) {
+        if (m_loop.now() - revoked.m_at < MAX_REVOCATION_DELAY || m_random.below(6) != 0) {
             continue;
         }
         const std::size_t gateway = pickGateway();
-        m_client.send(makeCall("GET", "/batch/", gateway, retired.m_key),
+        m_client.send(makeCall("GET", "/batch/", gateway, revoked.m_key),
                       [this, gateway, alive = std::weak_ptr(m_isAlive)](const HttpResult& result) {
                           if (!alive.expired()) {
-                              m_promises.noteRevokedKey(result.m_status,
-                                                        "gateway-" + std::to_string(gateway + 1));
+                              m_promises.recordRevokedKeyProbe(
+                                      result.m_status, "gateway-" + std::to_string(gateway + 1));
                           }
                       });
     }
--- a/test/soak/Callers.h
+++ b/test/soak/Callers.h
@@ -13,38 +13,54 @@
 namespace pierbank::testing {
 
 /**
- * Callers that hand in jobs at any gateway, ask again as the users' clients do, look at states and
- * cancel. They keep connections open.
+ * Load generator of the soak: submits jobs to random gateways, retries as the platform's clients
+ * do, polls job states and cancels some jobs. Connections are kept alive. Every result is passed to
+ * Promises. Runs on the event loop.
  */
 class Callers {
 public:
-    /** The references must outlive the callers. */
+    /**
+     * The references must outlive this object.
+     * @param fronts addresses of the gateways' HTTP endpoints for callers.
+     * @param seed determines the jobs, the pauses and the choice of gateways.
+     */
     Callers(EventLoop& loop, HttpClient& client, Promises& promises, std::vector<Address> fronts,
             std::uint64_t seed);
     Callers(const Callers&) = delete;
     Callers& operator=(const Callers&) = delete;
 
-    /** From now on calls bear this key; `retired` was taken away `age` ago. */
+    /**
+     * Sets the API key of all further calls. The previous key counts as revoked from now on and is
+     * probed until the end of the soak.
+     */
     void setKey(std::string key);
+    /** Starts to submit and to poll. */
     void start();
-    /** No new jobs; states are still asked for. */
+    /** Stops submitting new jobs; the states of submitted jobs are still polled. */
     void stop() { m_isStopped = true; }
 
 private:
-    void submitSoon();
+    /** Schedules the next submission after a random pause. */
+    void scheduleSubmission();
+    /** Draws a job and submits it; one job in six is cancelled later. */
     void submitOne();
+    /** Sends the POST of a job to a random gateway; `tries` counts from 1. */
     void send(const std::string& id, unsigned tries);
-    void handleSent(const std::string& id, unsigned tries, std::uint32_t status);
-    void askSoon();
-    void askState(const std::string& id);
+    /** Records the status of a POST (0: no response) and schedules a retry if one is due. */
+    void handleSubmitResult(const std::string& id, unsigned tries, std::uint32_t status);
+    /** Schedules the next round of polls and of probes with revoked keys. */
+    void schedulePolling();
+    void pollState(const std::string& id);
     void cancel(const std::string& id, unsigned tries);
-    void probeRetired();
+    /** Calls random gateways with keys that must not be served any more. */
+    void probeRevokedKeys();
     HttpCall makeCall(const std::string& method, const std::string& target, std::size_t gateway,
                       const std::string& key) const;
     std::size_t pickGateway() { return m_random.below(m_fronts.size()); }
 
-    struct RetiredKey {
+    struct RevokedKey {
         std::string m_key;
+        /** When the key was replaced. */
         Millis m_at{0};
     };
 
@@ -54,10 +70,12 @@
     const std::vector<Address> m_fronts;
     Random m_random;
     std::string m_key;
-    std::vector<RetiredKey> m_retired;
+    std::vector<RevokedKey> m_revokedKeys;
+    /** Request bodies by job id; a retry sends the same body. */
     std::map<std::string, std::string> m_bodies;
     bool m_isStopped = false;
-    std::uint64_t m_next = 1;
+    /** Number of the next job; its id is made from it. */
+    std::uint64_t m_nextNumber = 1;
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
 };
 
--- a/test/soak/ChildProcess.cpp
+++ b/test/soak/ChildProcess.cpp
@@ -11,23 +11,24 @@
 
 namespace {
 
-struct Watch {
-    std::function<void()> m_onEnd;
+/** Calls a function when a GSubprocess has ended; passed to GIO as user data. */
+struct ExitWatch {
+    std::function<void()> m_onExit;
 
     static void call(GObject* process, GAsyncResult* result, gpointer data) {
-        const std::unique_ptr<Watch> watch(static_cast<Watch*>(data));
+        const std::unique_ptr<ExitWatch> watch(static_cast<ExitWatch*>(data));
         g_subprocess_wait_finish(G_SUBPROCESS(process), result, nullptr);
-        watch->m_onEnd();
+        watch->m_onExit();
     }
 };
 
 }  // namespace
 
-ChildProcess::ChildProcess(EventLoop& loop, std::string name, std::vector<std::string> words,
+ChildProcess::ChildProcess(EventLoop& loop, std::string name, std::vector<std::string> arguments,
                            std::string logPath)
         : m_loop(loop),
           m_name(std::move(name)),
-          m_words(std::move(words)),
+          m_arguments(std::move(arguments)),
           m_logPath(std::move(logPath)) {}
 
 ChildProcess::~ChildProcess() {
@@ -41,19 +42,19 @@
 }
 
 void ChildProcess::start() {
-    std::vector<const char*> words;
-    for (const std::string& word : m_words) {
-        words.push_back(word.c_str());
+    std::vector<const char*> arguments;
+    for (const std::string& argument : m_arguments) {
+        arguments.push_back(argument.c_str());
     }
-    words.push_back(nullptr);
+    arguments.push_back(nullptr);
     GSubprocessLauncher* const launcher =
             g_subprocess_launcher_new(G_SUBPROCESS_FLAGS_STDERR_MERGE);
-    // Appended, so that the log goes on over restarts.
+    // O_APPEND keeps the log of earlier starts of the same process.
     constexpr int LOG_MODE = 0600;
     g_subprocess_launcher_take_stdout_fd(
             launcher, open(m_logPath.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, LOG_MODE));
     GError* error = nullptr;
-    m_process = g_subprocess_launcher_spawnv(launcher, words.data(), &error);
+    m_process = g_subprocess_launcher_spawnv(launcher, arguments.data(), &error);
     g_object_unref(launcher);
     if (m_process == nullptr) {
         std::cerr << m_name << ": " << error->message << "\n";
@@ -61,12 +62,12 @@
         return;
     }
     m_isSignalled = false;
-    auto* const watch = new Watch{[this, alive = std::weak_ptr(m_isAlive)] {
+    auto* const watch = new ExitWatch{[this, alive = std::weak_ptr(m_isAlive)] {
         if (!alive.expired()) {
-            handleEnd();
+            handleExit();
         }
     }};
-    g_subprocess_wait_async(m_process, nullptr, &Watch::call, watch);
+    g_subprocess_wait_async(m_process, nullptr, &ExitWatch::call, watch);
 }
 
 void ChildProcess::signal(int number) {
@@ -77,10 +78,10 @@
     g_subprocess_send_signal(m_process, number);
 }
 
-void ChildProcess::handleEnd() {
-    m_ownEnds += m_isSignalled ? 0 : 1;
+void ChildProcess::handleExit() {
+    m_unexpectedExits += m_isSignalled ? 0 : 1;
     g_clear_object(&m_process);
-    m_loop.callLater(m_restartPause, [this, alive = std::weak_ptr(m_isAlive)] {
+    m_loop.callLater(m_restartDelay, [this, alive = std::weak_ptr(m_isAlive)] {
         if (!alive.expired()) {
             start();
         }
--- a/test/soak/ChildProcess.h
+++ b/test/soak/ChildProcess.h
@@ -12,36 +12,47 @@
 
 namespace pierbank::testing {
 
-/** A real process of the system, which comes back whenever it ends. Its output goes to a file. */
+/**
+ * Runs a program as a child process and restarts it whenever it ends. Output is appended to a log
+ * file. Destruction kills the child. Runs on the event loop.
+ */
 class ChildProcess {
 public:
-    /** The loop must outlive the process. */
-    ChildProcess(EventLoop& loop, std::string name, std::vector<std::string> words,
+    /**
+     * @param loop must outlive this object.
+     * @param name identifies the process in reports.
+     * @param arguments the program and its arguments.
+     */
+    ChildProcess(EventLoop& loop, std::string name, std::vector<std::string> arguments,
                  std::string logPath);
     ~ChildProcess();
     ChildProcess(const ChildProcess&) = delete;
     ChildProcess& operator=(const ChildProcess&) = delete;
 
+    /** Starts the child. A failure to start is printed to stderr and not retried. */
     void start();
+    /** Sends a signal; does nothing while the child is not running. */
     void signal(int number);
-    /** After it ends it stays away for so long. */
-    void setRestartPause(Millis pause) { m_restartPause = pause; }
+    /** Sets the delay between the end of the child and its restart. */
+    void setRestartDelay(Millis pause) { m_restartDelay = pause; }
     const std::string& getName() const { return m_name; }
     const std::string& getLogPath() const { return m_logPath; }
-    /** Times it ended without a signal of ours. */
-    unsigned countOwnEnds() const { return m_ownEnds; }
+    /** Number of times the child ended without a SIGKILL or SIGTERM from signal(). */
+    unsigned countUnexpectedExits() const { return m_unexpectedExits; }
 
 private:
-    void handleEnd();
+    /** Counts the exit and schedules the restart. */
+    void handleExit();
 
     EventLoop& m_loop;
     const std::string m_name;
-    const std::vector<std::string> m_words;
+    const std::vector<std::string> m_arguments;
     const std::string m_logPath;
     GSubprocess* m_process = nullptr;
-    Millis m_restartPause{300};
+    Millis m_restartDelay{300};
+    /** The running child was sent SIGKILL or SIGTERM. */
     bool m_isSignalled = false;
-    unsigned m_ownEnds = 0;
+    unsigned m_unexpectedExits = 0;
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
 };
 
--- a/test/soak/FaultPlan.cpp
+++ b/test/soak/FaultPlan.cpp
@@ -19,11 +19,14 @@
         "store-lapses",        "worker-restart",     "worker-silent",       "worker-hangs",
         "worker-slow",         "worker-drains",      "key-change",          "domain-evacuated"};
 
-/** Evacuations are drawn by themselves, so that the faults of the seeds stay as they were. */
-constexpr std::size_t DRAWN_KINDS = static_cast<std::size_t>(FaultKind::KEY_CHANGE) + 1;
+/**
+ * Number of kinds that drawFaults() draws from. Evacuations are excluded, because one more kind
+ * would change the faults of every seed; see drawEvacuations().
+ */
+constexpr std::size_t RANDOM_KINDS = static_cast<std::size_t>(FaultKind::KEY_CHANGE) + 1;
 
-/** Nothing strikes before the processes know each other. */
-constexpr Millis QUIET_START{2500};
+/** No fault is injected before the processes have had time to connect to each other. */
+constexpr Millis FAULT_FREE_START{2500};
 
 }  // namespace
 
@@ -32,7 +35,7 @@
 }
 
 std::string Fault::toText() const {
-    return std::to_string(m_at.count()) + " ms, for " + std::to_string(m_for.count()) +
+    return std::to_string(m_at.count()) + " ms, for " + std::to_string(m_duration.count()) +
            " ms: " + std::string(pierbank::testing::toText(m_kind)) + " " +
            std::to_string(m_target);
 }
@@ -40,20 +43,20 @@
 std::vector<Fault> drawFaults(std::uint64_t seed, Millis length,
                               const std::vector<std::string>& kinds) {
     Random random(seed);
-    const auto draw = [&random](std::int64_t least, std::int64_t most) {
-        return Millis(least + static_cast<std::int64_t>(
-                                      random.below(static_cast<std::uint64_t>(most - least + 1))));
+    const auto draw = [&random](std::int64_t minMs, std::int64_t maxMs) {
+        return Millis(minMs + static_cast<std::int64_t>(
+                                      random.below(static_cast<std::uint64_t>(maxMs - minMs + 1))));
     };
     std::vector<Fault> faults;
-    for (Millis at = QUIET_START; at < length;) {
-        // A series: the same thing, or several, close after one another.
+    for (Millis at = FAULT_FREE_START; at < length;) {
+        // A series of faults within a short time, of the same or of different kinds.
         const std::uint64_t series = 1 + random.below(3);
         for (std::uint64_t i = 0; i < series; ++i) {
             Fault fault;
-            fault.m_kind = static_cast<FaultKind>(random.below(DRAWN_KINDS));
+            fault.m_kind = static_cast<FaultKind>(random.below(RANDOM_KINDS));
             fault.m_target = random.below(64);
             fault.m_at = at + draw(0, 600);
-            fault.m_for = draw(100, 6000);
+            fault.m_duration = draw(100, 6000);
             const bool isWanted = kinds.empty() || std::find(kinds.begin(), kinds.end(),
                                                              toText(fault.m_kind)) != kinds.end();
             if (isWanted) {
@@ -71,12 +74,13 @@
     constexpr std::uint64_t SALT = 0x65766163;
     Random random(seed ^ SALT);
     std::vector<Fault> requests;
-    for (Millis at = QUIET_START; at < length;) {
+    for (Millis at = FAULT_FREE_START; at < length;) {
         Fault request;
         request.m_kind = FaultKind::DOMAIN_EVACUATED;
         request.m_at = at;
-        // Some are withdrawn at once, some outlast the users' bound.
-        request.m_for = Millis(static_cast<std::int64_t>(200 + random.below(15'000)));
+        // Some requests are withdrawn soon, others last longer than Promises::MAX_EVACUATION_DELAY,
+        // so that both early withdrawal and complete evacuation are covered.
+        request.m_duration = Millis(static_cast<std::int64_t>(200 + random.below(15'000)));
         request.m_target = random.below(64);
         requests.push_back(request);
         at += Millis(static_cast<std::int64_t>(500 + random.below(5000)));
--- a/test/soak/FaultPlan.h
+++ b/test/soak/FaultPlan.h
@@ -11,63 +11,94 @@
 
 namespace pierbank::testing {
 
+/** Kinds of faults that the soak injects. The order determines the faults of a seed. */
 enum class FaultKind {
+    /** SIGKILL; the process is restarted. */
     GATEWAY_KILL,
+    /** SIGSTOP until the fault heals. */
     GATEWAY_FREEZE,
+    /** SIGTERM, a planned stop; the process is restarted. */
     GATEWAY_STOP,
     SIDECAR_KILL,
     SIDECAR_FREEZE,
     ALL_GATEWAYS_KILL,
+    /** SIGKILL of all gateways and all sidecars. */
     EVERYTHING_KILL,
+    /** Connections between one gateway and the store: blocked, reset or delayed. */
     GATEWAY_STORE_SILENT,
     GATEWAY_STORE_RESET,
     GATEWAY_STORE_SLOW,
+    /** Connections from gateways to one sidecar: blocked, reset or delayed. */
     SIDECAR_LINK_SILENT,
     SIDECAR_LINK_RESET,
     SIDECAR_LINK_SLOW,
+    /** The store answers every call with 503. */
     STORE_DOWN,
+    /** The store neither executes nor answers calls. */
     STORE_SILENT,
+    /** The store delays its answers. */
     STORE_SLOW,
+    /** Some transactions are executed but not answered. */
     STORE_LOSES,
+    /** Some transactions are not answered and are executed seconds later. */
     STORE_LATE,
+    /** Watches deliver no events. */
     STORE_DEAF,
+    /** The store compacts its history, so that watches have to start over. */
     STORE_FORGETS,
+    /** All leases in the store expire at once. */
     STORE_LAPSES,
+    /** The worker is replaced by another incarnation, which has none of its runs. */
     WORKER_RESTART,
+    /** The worker answers nothing; its runs continue until their lease expires. */
     WORKER_SILENT,
+    /** The worker's runs stall while its heartbeats look healthy. */
     WORKER_HANGS,
+    /** The worker's runs take several times as long. */
     WORKER_SLOW,
+    /** The worker announces that it will leave, and is replaced when the fault heals. */
     WORKER_DRAINS,
+    /** The platform's configuration is replaced, with another API key. */
     KEY_CHANGE,
-    /** A request of the operators rather than a fault; drawn beside the others. */
+    /** An operator's request rather than a fault; see drawEvacuations(). */
     DOMAIN_EVACUATED,
 };
 
 inline constexpr std::size_t FAULT_KINDS =
         static_cast<std::size_t>(FaultKind::DOMAIN_EVACUATED) + 1;
 
-/** As `gateway-kill`. */
+/** Returns the name of a kind for the command line and logs, such as `gateway-kill`. */
 std::string_view toText(FaultKind kind);
 
-/** One fault: strikes at a time, and heals after another. */
+/** A fault that is injected at a given time and heals after its duration. */
 struct Fault {
+    /** Time of the injection, from the start of the soak. */
     Millis m_at{0};
-    Millis m_for{0};
+    /** Time until the fault heals. It has no effect on kinds with nothing to undo, such as a kill.
+     */
+    Millis m_duration{0};
     FaultKind m_kind = FaultKind::GATEWAY_KILL;
-    /** Which gateway, sidecar or worker; taken modulo how many there are. */
+    /** Index of the gateway, sidecar or worker, taken modulo their number. */
     std::size_t m_target = 0;
 
+    /** Returns time, duration, kind and target for the output of the soak. */
     std::string toText() const;
 };
 
 /**
- * Draws a schedule: the same seed gives the same faults. They come in series and overlap.
- * @param kinds only these, by name; empty for all.
+ * Returns a random schedule of faults, ordered by time. Faults come in series of one to three and
+ * may overlap. The same seed gives the same schedule.
+ * @param length no series starts after this time.
+ * @param kinds names of the kinds to include; empty for all. Other faults of the schedule are left
+ * out and those that stay do not change.
  */
 std::vector<Fault> drawFaults(std::uint64_t seed, Millis length,
                               const std::vector<std::string>& kinds);
 
-/** Draws requests to evacuate failure domains, from numbers of their own: a seed's faults stay. */
+/**
+ * Returns a random schedule of requests to evacuate failure domains. The requests use a random
+ * sequence of their own, so that a seed gives the same faults with and without them.
+ */
 std::vector<Fault> drawEvacuations(std::uint64_t seed, Millis length);
 
 }  // namespace pierbank::testing
--- a/test/soak/LoopbackProxy.h
+++ b/test/soak/LoopbackProxy.h
@@ -14,25 +14,29 @@
 namespace pierbank::testing {
 
 /**
- * Stands between two processes on loopback and passes bytes on, late, held up, or not at all. What
- * is held up is passed on when the proxy heals, as after a partition, unless connections are reset
- * meanwhile.
+ * TCP proxy that injects network faults between two processes on loopback: delay, blocked
+ * connections and resets. Blocked bytes are forwarded when the block ends, as after a network
+ * partition, unless the connections are reset in the meantime. Runs on the event loop.
  */
 class LoopbackProxy {
 public:
-    /** The loop must outlive the proxy. */
+    /** Forwards to `target`. The loop must outlive the proxy. */
     LoopbackProxy(EventLoop& loop, Address target);
     ~LoopbackProxy();
     LoopbackProxy(const LoopbackProxy&) = delete;
     LoopbackProxy& operator=(const LoopbackProxy&) = delete;
 
+    /** Accepts connections at the address. @return false, with a reason, if that fails. */
     bool listen(const Address& address, Reason& reason);
 
-    /** Each piece of bytes is passed on so much later. */
+    /** Sets the delay of each block of bytes; zero for none. */
     void setDelay(Millis delay) { m_delay = delay; }
-    /** Nothing is passed on; connections stay open, new ones are taken and hang. */
+    /**
+     * While silent, the proxy forwards nothing: open connections stay open, and new connections are
+     * accepted and hang. The end of the silence forwards what was blocked.
+     */
     void setSilent(bool isSilent);
-    /** Connections that are open now end with a reset. */
+    /** Closes all open connections with a TCP reset. */
     void resetAll();
 
 private:
@@ -42,9 +46,13 @@
 
     static gboolean onIncoming(GSocketService*, GSocketConnection* connection, GObject*,
                                gpointer self);
-    void open(GSocketConnection* caller);
+    /** Connects to the target on behalf of an accepted connection. */
+    void connect(GSocketConnection* caller);
+    /** Reads the next block in one direction and forwards it after the delay. */
     void read(const PipePtr& pipe, Direction& direction);
-    void pass(const PipePtr& pipe, Direction& direction);
+    /** Writes the block that was read, or keeps it blocked while the proxy is silent. */
+    void forward(const PipePtr& pipe, Direction& direction);
+    /** Closes both connections of a pipe. */
     void close(const PipePtr& pipe);
 
     EventLoop& m_loop;
--- a/test/soak/Promises.cpp
+++ b/test/soak/Promises.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** The state in `{"state":"..."}`; empty for any other body. */
+/** Returns the state from a body `{"state":"..."}`, or an empty string for any other body. */
 std::string readState(const std::string& body) {
     constexpr std::string_view HEAD = R"({"state":")";
     constexpr std::string_view TAIL = R"("})";
@@ -29,14 +29,14 @@
     return m_jobs.emplace(id, std::move(job)).first->second;
 }
 
-void Promises::breach(std::string promise, std::string about, std::string detail) {
-    if (m_told.insert(promise + about).second) {
-        m_breaches.push_back({std::move(promise), std::move(about), std::move(detail)});
+void Promises::recordBreach(std::string promise, std::string subject, std::string detail) {
+    if (m_reported.insert(promise + subject).second) {
+        m_breaches.push_back({std::move(promise), std::move(subject), std::move(detail)});
     }
 }
 
 bool Promises::isDone(const SoakJob& job) const {
-    // One end counts for all members of a gang.
+    // The success of one member counts as the success of the whole gang.
     std::uint32_t done = 0;
     for (std::uint32_t i = 0; i < job.m_tasks; ++i) {
         done += m_witness.isDone({job.m_id, 0, 0, i}) ? 1 : 0;
@@ -60,18 +60,18 @@
     return starts;
 }
 
-void Promises::noteSubmitted(SoakJob& job, std::uint32_t status) {
+void Promises::recordSubmission(SoakJob& job, std::uint32_t status) {
     const bool isRefusal =
             status == HTTP_UNAVAILABLE || status == HTTP_TOO_MANY || status == HTTP_UNAUTHORIZED;
     job.m_isAccepted = job.m_isAccepted || status == HTTP_OK;
     job.m_isOnlyRefused = job.m_isOnlyRefused && isRefusal;
 }
 
-void Promises::noteState(SoakJob& job, std::uint32_t status, const std::string& body,
-                         Millis askedAt, Millis now) {
+void Promises::recordState(SoakJob& job, std::uint32_t status, const std::string& body,
+                           Millis requestedAt, Millis now) {
     if (status == HTTP_GONE) {
         if (job.m_isAccepted) {
-            breach("nothing accepted is lost", job.m_id, "410 for an accepted job");
+            recordBreach("nothing accepted is lost", job.m_id, "410 for an accepted job");
         }
         return;
     }
@@ -80,63 +80,67 @@
     }
     const std::string state = readState(body);
     if (state.empty()) {
-        breach("whole answers to the right caller", job.m_id, "the body is `" + body + "`");
+        recordBreach("whole answers to the right caller", job.m_id,
+                     "unexpected body `" + body + "`");
         return;
     }
-    if (askedAt <= job.m_lastStateAt) {
-        // Two questions were open at once: either answer may be the older one.
+    if (requestedAt <= job.m_lastStateAt) {
+        // Two GETs were in flight at once: either response may be the older one.
         return;
     }
     if (isFinished(job.m_lastState) && state != job.m_lastState) {
-        breach("whole answers to the right caller", job.m_id,
-               job.m_lastState + " and later " + state);
+        recordBreach("whole answers to the right caller", job.m_id,
+                     job.m_lastState + " and later " + state);
     }
     if (state == "succeeded" && !isDone(job)) {
-        breach("whole answers to the right caller", job.m_id, "succeeded, but it did not run");
+        recordBreach("whole answers to the right caller", job.m_id,
+                     "reported as succeeded, but not all tasks succeeded on a worker");
     }
     if (state == "failed" && !job.m_isPoison) {
-        breach("nothing accepted is lost", job.m_id, "failed without cause");
+        recordBreach("nothing accepted is lost", job.m_id,
+                     "failed although no run of the job fails");
     }
     if (state == "canceled" && !job.m_isCancelRequested) {
-        breach("nothing accepted is lost", job.m_id, "canceled, which nobody asked for");
+        recordBreach("nothing accepted is lost", job.m_id, "canceled without a DELETE");
     }
     job.m_lastState = state;
     job.m_lastStateAt = now;
-    job.m_isToldOver = isFinished(state);
+    job.m_isReportedFinished = isFinished(state);
 }
 
-void Promises::noteCancelled(SoakJob& job, std::uint32_t status, bool wasAccepted) {
+void Promises::recordCancellation(SoakJob& job, std::uint32_t status, bool wasAccepted) {
     job.m_isCancelRequested = true;
     if (status == HTTP_GONE && wasAccepted) {
-        breach("nothing accepted is lost", job.m_id, "410 to a DELETE of an accepted job");
+        recordBreach("nothing accepted is lost", job.m_id, "410 to a DELETE of an accepted job");
     }
 }
 
-void Promises::noteRevokedKey(std::uint32_t status, const std::string& gateway) {
+void Promises::recordRevokedKeyProbe(std::uint32_t status, const std::string& gateway) {
     if (status == HTTP_OK) {
-        breach("no revoked key is served", gateway, "200 to a key that was taken away long ago");
+        recordBreach("no revoked key is served", gateway,
+                     "200 for a key that was revoked long ago");
     }
 }
 
-void Promises::noteOwnEnd(const std::string& process) {
-    breach("no process ends by itself", process, "it ended without a signal");
+void Promises::recordUnexpectedExit(const std::string& process) {
+    recordBreach("no process ends by itself", process, "ended without a signal from the soak");
 }
 
-void Promises::look(Millis now) {
+void Promises::checkInvariants(Millis now) {
     const auto& violations = m_witness.getViolations();
     for (; m_violationsSeen < violations.size(); ++m_violationsSeen) {
         const std::string& text = violations[m_violationsSeen];
-        breach("nothing runs twice", text.substr(0, text.find('.')), text);
+        recordBreach("nothing runs twice", text.substr(0, text.find('.')), text);
     }
     for (auto& [id, job] : m_jobs) {
         const std::size_t running = job.m_isGang ? countRunning(job) : 0;
-        const bool isPart = running > 0 && running < job.m_tasks;
-        if (!isPart) {
-            job.m_partSince = Millis(0);
-        } else if (job.m_partSince == Millis(0)) {
-            job.m_partSince = now;
-        } else if (now - job.m_partSince > PART_BOUND) {
-            breach("gangs run whole", id, "a part ran alone for too long");
+        const bool isPartial = running > 0 && running < job.m_tasks;
+        if (!isPartial) {
+            job.m_partialSince = Millis(0);
+        } else if (job.m_partialSince == Millis(0)) {
+            job.m_partialSince = now;
+        } else if (now - job.m_partialSince > MAX_PARTIAL_GANG_TIME) {
+            recordBreach("gangs run whole", id, "only some members ran for too long");
         }
     }
 }
@@ -144,14 +148,15 @@
 void Promises::checkEvacuations(const std::vector<Evacuation>& evacuations,
                                 const std::vector<Start>& starts) {
     for (const Start& start : starts) {
-        for (const Evacuation& one : evacuations) {
-            const bool isOpen = one.m_until.has_value() && start.m_at >= *one.m_until;
-            if (start.m_domain == one.m_domain && !isOpen &&
-                start.m_at > one.m_since + EVACUATION_BOUND) {
-                const Millis after = start.m_at - one.m_since;
-                breach("nothing begins where it is evacuated", start.m_task,
-                       std::to_string(after.count()) + " ms after that was asked for, in " +
-                               start.m_domain);
+        for (const Evacuation& evacuation : evacuations) {
+            const bool isWithdrawn =
+                    evacuation.m_until.has_value() && start.m_at >= *evacuation.m_until;
+            if (start.m_domain == evacuation.m_domain && !isWithdrawn &&
+                start.m_at > evacuation.m_since + MAX_EVACUATION_DELAY) {
+                const Millis after = start.m_at - evacuation.m_since;
+                recordBreach("nothing begins where it is evacuated", start.m_task,
+                             std::to_string(after.count()) + " ms after the request, in " +
+                                     start.m_domain);
             }
         }
     }
@@ -159,7 +164,7 @@
 
 bool Promises::isSettled() const {
     for (const auto& [id, job] : m_jobs) {
-        if ((job.m_isAccepted && !job.m_isToldOver) || countRunning(job) > 0) {
+        if ((job.m_isAccepted && !job.m_isReportedFinished) || countRunning(job) > 0) {
             return false;
         }
     }
@@ -168,18 +173,20 @@
 
 void Promises::finish() {
     for (const auto& [id, job] : m_jobs) {
-        if (job.m_isAccepted && !job.m_isToldOver) {
-            breach("nothing accepted is lost", id,
-                   "accepted, and at the end `" + job.m_lastState + "`");
+        if (job.m_isAccepted && !job.m_isReportedFinished) {
+            recordBreach("nothing accepted is lost", id,
+                         "accepted, but the last state is `" + job.m_lastState + "`");
         }
         if (!job.m_isAccepted && job.m_isOnlyRefused && countStarts(job) > 0) {
-            breach("no refused job runs", id, "refused each time, and started");
+            recordBreach("no refused job runs", id,
+                         "every submission was refused, but a task was started");
         }
         if (job.m_lastState == "canceled" && countRunning(job) > 0) {
-            breach("cancelled work is gone", id, "canceled, and it still runs");
+            recordBreach("cancelled work is gone", id, "canceled, but still running");
         }
         if (job.m_isAccepted && !job.m_isCancelRequested && !job.m_isPoison && !isDone(job)) {
-            breach("nothing accepted is lost", id, "accepted, and it was not run to its end");
+            recordBreach("nothing accepted is lost", id,
+                         "accepted, but not all tasks have succeeded");
         }
     }
 }
--- a/test/soak/Promises.h
+++ b/test/soak/Promises.h
@@ -13,97 +13,128 @@
 
 namespace pierbank::testing {
 
-/** One job, as its caller made it and what the caller was told. */
+/** A submitted job: the request, the responses to its caller and the last reported state. */
 struct SoakJob {
     std::string m_id;
     /** `/batch/`, `/urgent/` or `/poison/`. */
     std::string m_queue;
     std::uint32_t m_tasks = 1;
     bool m_isGang = false;
-    /** All its runs fail. */
+    /** The payload makes every run of the job fail. */
     bool m_isPoison = false;
 
+    /** At least one POST was answered with 200. */
     bool m_isAccepted = false;
-    /** Every answer so far was a refusal. */
+    /** Every POST so far was refused: 401, 429 or 503. */
     bool m_isOnlyRefused = true;
     bool m_isCancelRequested = false;
-    /** Told to have ended. */
-    bool m_isToldOver = false;
+    /** A final state was reported to the caller. */
+    bool m_isReportedFinished = false;
+    /** The most recent state that was reported, and when. */
     std::string m_lastState;
     Millis m_lastStateAt{0};
-    /** Since when only a part of the gang runs; zero: it does not. */
-    Millis m_partSince{0};
+    /** Since when only some members of the gang run; zero if all or none run. */
+    Millis m_partialSince{0};
 };
 
-/** One promise that was broken. */
+/** A violation of a promise. */
 struct Breach {
     std::string m_promise;
-    /** The job's id, or the process's name. */
-    std::string m_about;
+    /** Id of the job or task, or name of the process, that the violation concerns. */
+    std::string m_subject;
     std::string m_detail;
 };
 
 /**
- * The promises, checked from what callers are told and what workers see while the soak runs and
- * when everything has healed.
+ * Checks the promises of the system, as docs/SOAK.md lists them, against the responses to callers
+ * and the runs on the workers: during the soak, and once more after all faults have healed. Each
+ * promise is reported at most once per subject.
  */
 class Promises {
 public:
-    /** A part of a gang may run alone for so long: leases of lost members have to lapse first. */
-    static constexpr Millis PART_BOUND{15'000};
-    /** Nothing begins in a failure domain so long after its evacuation was asked for: the users'
-     * bound, and the longest that a fault keeps a process from hearing of it. */
-    static constexpr Millis EVACUATION_BOUND{11'000};
-
+    /**
+     * Longest time for which only some members of a gang may run. The remaining members are stopped
+     * only after the leases of lost members have lapsed.
+     */
+    static constexpr Millis MAX_PARTIAL_GANG_TIME{15'000};
+    /**
+     * Time after the request for an evacuation from which on no run may start in the failure
+     * domain: the bound that operators rely on plus the longest time for which a fault can keep a
+     * process from receiving the request.
+     */
+    static constexpr Millis MAX_EVACUATION_DELAY{11'000};
+
+    /** A request to evacuate a failure domain. */
     struct Evacuation {
         std::string m_domain;
         Millis m_since{0};
+        /** When the request was withdrawn; nothing while it is active. */
         std::optional<Millis> m_until;
     };
+    /** The start of a run on a worker of a failure domain. */
     struct Start {
         std::string m_domain;
         std::string m_task;
         Millis m_at{0};
     };
 
+    /** The witness, which observes the runs on all workers, must outlive this object. */
     explicit Promises(const RunWitness& witness) : m_witness(witness) {}
 
+    /** Adds a job that is about to be submitted; the reference stays valid. */
     SoakJob& add(SoakJob job);
     std::map<std::string, SoakJob>& getJobs() { return m_jobs; }
 
-    /** What a caller was told; `status` zero: no whole answer came. */
-    void noteSubmitted(SoakJob& job, std::uint32_t status);
-    /** @param askedAt an answer may be old if another question was answered after it was asked. */
-    void noteState(SoakJob& job, std::uint32_t status, const std::string& body, Millis askedAt,
-                   Millis now);
-    /** @param wasAccepted when the call went out: one that was on its way before the job was taken
-     * may have been answered by what was so then. */
-    void noteCancelled(SoakJob& job, std::uint32_t status, bool wasAccepted);
-    /** A call with a key that was taken away longer ago than the users' bound. */
-    void noteRevokedKey(std::uint32_t status, const std::string& gateway);
-    void noteOwnEnd(const std::string& process);
-
-    /** Looks at the workers. */
-    void look(Millis now);
+    /** Records the status of a POST; zero if no complete response arrived. */
+    void recordSubmission(SoakJob& job, std::uint32_t status);
+    /**
+     * Records the response to a GET and checks it.
+     * @param requestedAt when the GET was sent. The response is ignored if the response to another
+     * GET has arrived since then, because either of the two may be the older one.
+     */
+    void recordState(SoakJob& job, std::uint32_t status, const std::string& body,
+                     Millis requestedAt, Millis now);
+    /**
+     * Records the status of a DELETE.
+     * @param wasAccepted whether the job was accepted when the DELETE was sent. 410 is correct for
+     * a DELETE that a gateway handled before the job was accepted.
+     */
+    void recordCancellation(SoakJob& job, std::uint32_t status, bool wasAccepted);
+    /** Records the status of a call with a key that no gateway may serve any more. */
+    void recordRevokedKeyProbe(std::uint32_t status, const std::string& gateway);
+    /** Records that a process ended although the soak did not stop it. */
+    void recordUnexpectedExit(const std::string& process);
+
+    /** Checks the runs on the workers: duplicate runs and incomplete gangs. */
+    void checkInvariants(Millis now);
+    /**
+     * Reports each start in a failure domain that came more than MAX_EVACUATION_DELAY after the
+     * request to evacuate the domain and before the withdrawal of the request.
+     */
     void checkEvacuations(const std::vector<Evacuation>& evacuations,
                           const std::vector<Start>& starts);
-    /** Every job is told to be over, or never was. */
+    /** True if every accepted job is reported as finished and no job has a run on a worker. */
     bool isSettled() const;
-    /** After everything has healed and settled, or did not in time. */
+    /** Makes the final checks, after the faults have healed and the jobs finished or timed out. */
     void finish();
 
     const std::vector<Breach>& getBreaches() const { return m_breaches; }
 
 private:
-    void breach(std::string promise, std::string about, std::string detail);
+    void recordBreach(std::string promise, std::string subject, std::string detail);
+    /** True if all tasks of the job have succeeded on a worker. */
     bool isDone(const SoakJob& job) const;
+    /** Number of tasks of the job that run on a worker. */
     std::size_t countRunning(const SoakJob& job) const;
+    /** Number of starts on workers, over all tasks of the job. */
     std::size_t countStarts(const SoakJob& job) const;
 
     const RunWitness& m_witness;
     std::map<std::string, SoakJob> m_jobs;
     std::vector<Breach> m_breaches;
-    std::set<std::string> m_told;
+    /** Promise and subject of each violation reported so far. */
+    std::set<std::string> m_reported;
+    /** Number of the witness's violations that have been reported. */
     std::size_t m_violationsSeen = 0;
 };
 
--- a/test/soak/Soak.cpp
+++ b/test/soak/Soak.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** Groups of ports; a process's is the group's first and its place. */
+/** Groups of ports. The port of a process is the first of the group plus the process's index. */
 enum PortGroup : std::size_t {
     STORE,
     FRONT,
@@ -18,15 +18,18 @@
     GATEWAY_LINKS,
     GATEWAY_TO_STORE,
     WORKER,
-    BEATS,
-    SIDE_LINKS,
-    SIDE_LINKS_PROXY,
-    SIDE_TO_STORE,
+    HEARTBEATS,
+    SIDECAR_LINKS,
+    SIDECAR_LINKS_PROXY,
+    SIDECAR_TO_STORE,
 };
 
 constexpr std::size_t GROUP_SIZE = 100;
-/** After everything healed, jobs have so long to end: leases and graces lapse, runs begin again. */
-constexpr Millis SETTLE_TIME{60'000};
+/**
+ * Longest time for jobs to finish after all faults have healed. It covers leases and grace periods
+ * that have to lapse before lost runs are started again.
+ */
+constexpr Millis SETTLE_TIMEOUT{60'000};
 
 }  // namespace
 
@@ -34,36 +37,36 @@
         : m_options(std::move(options)),
           m_store(m_loop, m_options.m_seed),
           m_gateways(m_options.m_gateways),
-          m_sides(m_options.m_workers) {}
+          m_workerNodes(m_options.m_workers) {}
 
-Address Soak::getAddress(std::size_t group, std::size_t place) const {
+Address Soak::getAddress(std::size_t group, std::size_t index) const {
     return {"127.0.0.1",
-            static_cast<std::uint16_t>(m_options.m_basePort + group * GROUP_SIZE + place)};
+            static_cast<std::uint16_t>(m_options.m_basePort + group * GROUP_SIZE + index)};
 }
 
 void Soak::write(const std::string& name, const std::string& text) const {
     std::ofstream(m_options.m_folder + "/" + name) << text;
 }
 
-void Soak::say(const std::string& line) const {
+void Soak::print(const std::string& line) const {
     if (!m_options.m_isQuiet) {
         std::cout << line << std::endl;
     }
 }
 
-bool Soak::prepareGateway(std::size_t place, Reason& reason) {
-    Gateway& gateway = m_gateways[place];
-    gateway.m_toStore = std::make_unique<LoopbackProxy>(m_loop, getAddress(STORE, 0));
-    const Address proxy = getAddress(GATEWAY_TO_STORE, place);
-    if (!gateway.m_toStore->listen(proxy, reason)) {
+bool Soak::prepareGateway(std::size_t index, Reason& reason) {
+    Gateway& gateway = m_gateways[index];
+    gateway.m_storeProxy = std::make_unique<LoopbackProxy>(m_loop, getAddress(STORE, 0));
+    const Address proxy = getAddress(GATEWAY_TO_STORE, index);
+    if (!gateway.m_storeProxy->listen(proxy, reason)) {
         return false;
     }
-    const std::string name = "gateway-" + std::to_string(place + 1);
+    const std::string name = "gateway-" + std::to_string(index + 1);
     write(name + ".ini",
-          "[gateway]\nname=" + name + "\nfront=" + getAddress(FRONT, place).toText() +
-                  "\nready=" + getAddress(READY, place).toText() +
-                  "\noperators=" + getAddress(OPERATORS, place).toText() +
-                  "\nlinks=" + getAddress(GATEWAY_LINKS, place).toText() +
+          "[gateway]\nname=" + name + "\nfront=" + getAddress(FRONT, index).toText() +
+                  "\nready=" + getAddress(READY, index).toText() +
+                  "\noperators=" + getAddress(OPERATORS, index).toText() +
+                  "\nlinks=" + getAddress(GATEWAY_LINKS, index).toText() +
                   "\n[store]\naddress=" + proxy.toText() + "\n[operators]\nsoak=token-of-soak\n");
     gateway.m_process = std::make_unique<ChildProcess>(
             m_loop, name,
@@ -73,30 +76,30 @@
     return true;
 }
 
-bool Soak::prepareSide(std::size_t place, Reason& reason) {
-    Side& side = m_sides[place];
-    const std::string number = std::to_string(place + 1);
-    side.m_toStore = std::make_unique<LoopbackProxy>(m_loop, getAddress(STORE, 0));
-    side.m_link = std::make_unique<LoopbackProxy>(m_loop, getAddress(SIDE_LINKS, place));
-    const Address store = getAddress(SIDE_TO_STORE, place);
-    const Address link = getAddress(SIDE_LINKS_PROXY, place);
+bool Soak::prepareWorkerNode(std::size_t index, Reason& reason) {
+    WorkerNode& node = m_workerNodes[index];
+    const std::string number = std::to_string(index + 1);
+    node.m_storeProxy = std::make_unique<LoopbackProxy>(m_loop, getAddress(STORE, 0));
+    node.m_linksProxy = std::make_unique<LoopbackProxy>(m_loop, getAddress(SIDECAR_LINKS, index));
+    const Address store = getAddress(SIDECAR_TO_STORE, index);
+    const Address link = getAddress(SIDECAR_LINKS_PROXY, index);
     StandinWorkerPlan plan;
     plan.m_name = "w" + number;
-    plan.m_rack = "r" + std::to_string(place / 2);
-    plan.m_failureDomain = getDomain(place);
-    plan.m_sidecar = getAddress(BEATS, place);
-    side.m_worker = std::make_unique<StandinWorker>(m_loop, m_client, m_witness, plan);
-    if (!side.m_toStore->listen(store, reason) || !side.m_link->listen(link, reason) ||
-        !side.m_worker->listen(getAddress(WORKER, place), reason)) {
+    plan.m_rack = "r" + std::to_string(index / 2);
+    plan.m_failureDomain = getDomain(index);
+    plan.m_sidecar = getAddress(HEARTBEATS, index);
+    node.m_worker = std::make_unique<StandinWorker>(m_loop, m_client, m_witness, plan);
+    if (!node.m_storeProxy->listen(store, reason) || !node.m_linksProxy->listen(link, reason) ||
+        !node.m_worker->listen(getAddress(WORKER, index), reason)) {
         return false;
     }
     const std::string name = "side-" + number;
     write(name + ".ini", "[sidecar]\nname=" + name + "\nbeats=" + plan.m_sidecar.toText() +
-                                 "\nlinks=" + getAddress(SIDE_LINKS, place).toText() +
+                                 "\nlinks=" + getAddress(SIDECAR_LINKS, index).toText() +
                                  "\nreached-at=" + link.toText() +
-                                 "\nworker=" + getAddress(WORKER, place).toText() +
+                                 "\nworker=" + getAddress(WORKER, index).toText() +
                                  "\n[store]\naddress=" + store.toText() + "\n");
-    side.m_process = std::make_unique<ChildProcess>(
+    node.m_process = std::make_unique<ChildProcess>(
             m_loop, name,
             std::vector<std::string>{m_options.m_tools + "/pierbank-sidecar", "--settings",
                                      m_options.m_folder + "/" + name + ".ini"},
@@ -115,8 +118,8 @@
             return false;
         }
     }
-    for (std::size_t i = 0; i < m_sides.size(); ++i) {
-        if (!prepareSide(i, reason)) {
+    for (std::size_t i = 0; i < m_workerNodes.size(); ++i) {
+        if (!prepareWorkerNode(i, reason)) {
             return false;
         }
     }
@@ -126,13 +129,13 @@
     for (const Gateway& gateway : m_gateways) {
         gateway.m_process->start();
     }
-    for (const Side& side : m_sides) {
-        side.m_process->start();
+    for (const WorkerNode& node : m_workerNodes) {
+        node.m_process->start();
     }
     return true;
 }
 
-/** A new version, with another key; the former is taken away. */
+/** The previous key is no longer listed and thereby revoked. */
 void Soak::configure() {
     const std::string key = "key-" + std::to_string(++m_version);
     const auto route = [](const char* name, int priority) {
@@ -167,7 +170,7 @@
     }
     m_callers->start();
     schedule();
-    look();
+    checkInvariants();
     m_loop.run();
     m_promises.checkEvacuations(m_evacuations, listStarts());
     m_promises.finish();
@@ -177,8 +180,8 @@
 void Soak::schedule() {
     std::erase_if(m_faults, [this](const Fault& f) { return f.m_at >= m_options.m_length; });
     for (const Fault& fault : m_faults) {
-        m_loop.callLater(fault.m_at, [this, fault] { strike(fault); });
-        m_loop.callLater(std::min(fault.m_at + fault.m_for, m_options.m_length),
+        m_loop.callLater(fault.m_at, [this, fault] { inject(fault); });
+        m_loop.callLater(std::min(fault.m_at + fault.m_duration, m_options.m_length),
                          [this, fault] { heal(fault); });
     }
     m_loop.callLater(m_options.m_length, [this] {
@@ -188,41 +191,41 @@
     });
 }
 
-void Soak::look() {
+void Soak::checkInvariants() {
     constexpr Millis INTERVAL{50};
-    m_promises.look(m_loop.now());
+    m_promises.checkInvariants(m_loop.now());
     for (const Gateway& gateway : m_gateways) {
-        if (gateway.m_process->countOwnEnds() > 0) {
-            m_promises.noteOwnEnd(gateway.m_process->getName());
+        if (gateway.m_process->countUnexpectedExits() > 0) {
+            m_promises.recordUnexpectedExit(gateway.m_process->getName());
         }
     }
-    for (const Side& side : m_sides) {
-        if (side.m_process->countOwnEnds() > 0) {
-            m_promises.noteOwnEnd(side.m_process->getName());
+    for (const WorkerNode& node : m_workerNodes) {
+        if (node.m_process->countUnexpectedExits() > 0) {
+            m_promises.recordUnexpectedExit(node.m_process->getName());
         }
     }
-    m_loop.callLater(INTERVAL, [this] { look(); });
+    m_loop.callLater(INTERVAL, [this] { checkInvariants(); });
 }
 
 void Soak::waitForEnd(Millis since) {
     constexpr Millis INTERVAL{100};
-    const bool isLate = m_loop.now() - since > SETTLE_TIME;
-    if (m_promises.isSettled() || isLate) {
+    const bool hasTimedOut = m_loop.now() - since > SETTLE_TIMEOUT;
+    if (m_promises.isSettled() || hasTimedOut) {
         m_loop.quit();
         return;
     }
     m_loop.callLater(INTERVAL, [this, since] { waitForEnd(since); });
 }
 
-std::string Soak::getDomain(std::size_t place) const {
+std::string Soak::getDomain(std::size_t index) const {
     const std::size_t workers = m_options.m_evacuates ? 2 : 4;
-    return "d" + std::to_string(place / workers);
+    return "d" + std::to_string(index / workers);
 }
 
 std::vector<Promises::Start> Soak::listStarts() const {
     std::vector<Promises::Start> starts;
-    for (std::size_t i = 0; i < m_sides.size(); ++i) {
-        const std::string journal = m_sides[i].m_worker->getTasks().getJournalText();
+    for (std::size_t i = 0; i < m_workerNodes.size(); ++i) {
+        const std::string journal = m_workerNodes[i].m_worker->getTasks().getJournalText();
         for (const auto& row : nlohmann::json::parse(journal)) {
             if (row[0] == "start") {
                 starts.push_back({getDomain(i), row[1].get<std::string>(),
@@ -234,7 +237,7 @@
 }
 
 std::vector<std::string> Soak::findLogLines(const std::string& name) const {
-    constexpr std::size_t MOST = 24;
+    constexpr std::size_t MAX_LINES = 24;
     std::vector<std::string> lines;
     const auto search = [&](const ChildProcess& process) {
         std::ifstream log(process.getLogPath());
@@ -247,13 +250,13 @@
     for (const Gateway& gateway : m_gateways) {
         search(*gateway.m_process);
     }
-    for (const Side& side : m_sides) {
-        search(*side.m_process);
+    for (const WorkerNode& node : m_workerNodes) {
+        search(*node.m_process);
     }
-    // They begin with their time.
+    // Log lines begin with their timestamp.
     std::sort(lines.begin(), lines.end());
-    if (lines.size() > MOST) {
-        lines.erase(lines.begin(), lines.end() - MOST);
+    if (lines.size() > MAX_LINES) {
+        lines.erase(lines.begin(), lines.end() - MAX_LINES);
     }
     return lines;
 }
--- a/test/soak/Soak.h
+++ b/test/soak/Soak.h
@@ -19,73 +19,101 @@
 
 struct SoakOptions {
     std::uint64_t m_seed = 1;
-    /** Faults strike for so long; then everything heals. */
+    /** Duration of the fault injection. All faults heal at its end. */
     Millis m_length{20'000};
     std::size_t m_gateways = 3;
     std::size_t m_workers = 4;
-    /** Failure domains, of two workers each then, are evacuated and opened again meanwhile. */
+    /**
+     * Requests and withdraws the evacuation of failure domains during the soak. Failure domains
+     * have two workers each then, otherwise four.
+     */
     bool m_evacuates = false;
-    /** Of two restarts of workers one is under the id that the worker had, and calls come late. */
+    /**
+     * Every second restart of a worker keeps the worker's id, and some calls to a restarted worker
+     * are delayed.
+     */
     bool m_keepsIds = false;
-    /** Only these kinds of faults; empty for all. */
+    /** Names of the kinds of faults to inject; empty for all. */
     std::vector<std::string> m_faults;
-    /** Where the programs are. */
+    /** Folder of the programs pierbank-gateway and pierbank-sidecar. */
     std::string m_tools;
-    /** Logs and settings go here. */
+    /** Folder for the logs and settings of the processes. */
     std::string m_folder;
+    /** First port of the range on loopback. */
     std::uint16_t m_basePort = 21'000;
+    /** Does not print the faults. */
     bool m_isQuiet = false;
 };
 
 /**
- * Runs gateways and sidecars as real processes against stand-ins in this process, with a proxy on
- * each way to the store and to each sidecar, strikes them with faults, and checks the promises.
+ * Runs gateways and sidecars as real processes against a simulated store and simulated workers in
+ * this process, injects faults and checks the promises. A proxy is placed in front of the store for
+ * each process, and in front of each sidecar.
  */
 class Soak {
 public:
     explicit Soak(SoakOptions options);
 
-    /** @return the promises that were broken; one about `soak` when it could not begin. */
+    /**
+     * Runs the soak to its end.
+     * @return the violations of promises; a single one about `soak` if it could not be started.
+     */
     std::vector<Breach> run();
+    /** Number of jobs that were submitted. */
     std::size_t countJobs() { return m_promises.getJobs().size(); }
-    /** Lines of all processes' logs that name something, the last ones. */
+    /** Returns the last log lines of all processes that contain the name, ordered by time. */
     std::vector<std::string> findLogLines(const std::string& name) const;
 
 private:
+    /** A gateway process and the proxy to the store that it uses. */
     struct Gateway {
-        std::unique_ptr<LoopbackProxy> m_toStore;
+        std::unique_ptr<LoopbackProxy> m_storeProxy;
         std::unique_ptr<ChildProcess> m_process;
     };
-    struct Side {
-        std::unique_ptr<LoopbackProxy> m_toStore;
-        /** The leader's way to the sidecar. */
-        std::unique_ptr<LoopbackProxy> m_link;
+    /** A simulated worker, its sidecar process and the proxies of the sidecar. */
+    struct WorkerNode {
+        std::unique_ptr<LoopbackProxy> m_storeProxy;
+        /** Proxy for the connections from gateways to the sidecar. */
+        std::unique_ptr<LoopbackProxy> m_linksProxy;
         std::unique_ptr<StandinWorker> m_worker;
         std::unique_ptr<ChildProcess> m_process;
     };
 
+    /** Creates and starts everything. @return false, with a reason, if a port is unavailable. */
     bool prepare(Reason& reason);
-    bool prepareGateway(std::size_t place, Reason& reason);
-    bool prepareSide(std::size_t place, Reason& reason);
+    bool prepareGateway(std::size_t index, Reason& reason);
+    bool prepareWorkerNode(std::size_t index, Reason& reason);
+    /** Writes the next version of the platform's configuration, with a new API key. */
     void configure();
+    /** Schedules the injection and healing of all faults, and the end of the soak. */
     void schedule();
-    void strike(const Fault& fault);
-    void strikeProcess(const Fault& fault);
-    void strikeLink(const Fault& fault);
-    void strikeStore(const Fault& fault);
+    /** Injects a fault; the functions below each handle the kinds of one group. */
+    void inject(const Fault& fault);
+    void injectProcessFault(const Fault& fault);
+    void injectNetworkFault(const Fault& fault);
+    void injectStoreFault(const Fault& fault);
     void restartWorker(StandinWorker& worker);
-    void strikeWorker(const Fault& fault);
+    void injectWorkerFault(const Fault& fault);
+    /** Undoes a fault; does nothing for kinds without lasting effect and after healAll(). */
     void heal(const Fault& fault);
-    std::string getDomain(std::size_t place) const;
+    /** Returns the failure domain of a worker. */
+    std::string getDomain(std::size_t index) const;
     void evacuate(const std::string& domain);
-    void open(const std::string& domain);
+    /** Withdraws the evacuation of a failure domain. */
+    void reopen(const std::string& domain);
+    /** Returns the starts of runs on all workers. */
     std::vector<Promises::Start> listStarts() const;
     void healAll();
-    void look();
+    /** Checks promises that must hold at any time, at intervals until the end. */
+    void checkInvariants();
+    /** Ends the loop when all jobs have settled or the timeout since `since` has passed. */
     void waitForEnd(Millis since);
-    Address getAddress(std::size_t group, std::size_t place) const;
+    /** Returns the address of process `index` in a PortGroup. */
+    Address getAddress(std::size_t group, std::size_t index) const;
+    /** Writes a file in the folder of the soak. */
     void write(const std::string& name, const std::string& text) const;
-    void say(const std::string& line) const;
+    /** Prints a line unless the soak is quiet. */
+    void print(const std::string& line) const;
 
     const SoakOptions m_options;
     GlibEventLoop m_loop;
@@ -94,12 +122,15 @@
     Promises m_promises{m_witness};
     StandinStore m_store;
     std::vector<Gateway> m_gateways;
-    std::vector<Side> m_sides;
+    std::vector<WorkerNode> m_workerNodes;
     std::unique_ptr<Callers> m_callers;
     std::vector<Fault> m_faults;
     std::vector<Promises::Evacuation> m_evacuations;
+    /** Version of the configuration that was written last. */
     std::uint64_t m_version = 0;
+    /** Restarts of workers with m_keepsIds; determines the form of the next one. */
     unsigned m_restarts = 0;
+    /** All faults have healed; pending calls of heal() have no effect. */
     bool m_isHealed = false;
 };
 
--- a/test/soak/SoakFaults.cpp
+++ b/test/soak/SoakFaults.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// What a soak's faults do, and how they heal.
+// Injection and healing of each kind of fault.
 #include <algorithm>
 #include <csignal>
 
@@ -9,27 +9,28 @@
 
 namespace {
 
-constexpr Millis SLOW{150};
+/** Delay of a slow store or link. */
+constexpr Millis ADDED_DELAY{150};
 
 }  // namespace
 
-void Soak::strike(const Fault& fault) {
-    say(fault.toText());
-    strikeProcess(fault);
-    strikeLink(fault);
-    strikeStore(fault);
-    strikeWorker(fault);
+void Soak::inject(const Fault& fault) {
+    print(fault.toText());
+    injectProcessFault(fault);
+    injectNetworkFault(fault);
+    injectStoreFault(fault);
+    injectWorkerFault(fault);
     if (fault.m_kind == FaultKind::KEY_CHANGE) {
         configure();
     }
     if (fault.m_kind == FaultKind::DOMAIN_EVACUATED) {
-        evacuate(getDomain(fault.m_target % m_sides.size()));
+        evacuate(getDomain(fault.m_target % m_workerNodes.size()));
     }
 }
 
-void Soak::strikeProcess(const Fault& fault) {
+void Soak::injectProcessFault(const Fault& fault) {
     ChildProcess& gateway = *m_gateways[fault.m_target % m_gateways.size()].m_process;
-    ChildProcess& sidecar = *m_sides[fault.m_target % m_sides.size()].m_process;
+    ChildProcess& sidecar = *m_workerNodes[fault.m_target % m_workerNodes.size()].m_process;
     switch (fault.m_kind) {
         case FaultKind::GATEWAY_KILL:
             gateway.signal(SIGKILL);
@@ -56,41 +57,42 @@
             break;
     }
     if (fault.m_kind == FaultKind::EVERYTHING_KILL) {
-        for (const Side& each : m_sides) {
+        for (const WorkerNode& each : m_workerNodes) {
             each.m_process->signal(SIGKILL);
         }
     }
 }
 
-void Soak::strikeLink(const Fault& fault) {
-    LoopbackProxy& toStore = *m_gateways[fault.m_target % m_gateways.size()].m_toStore;
-    LoopbackProxy& link = *m_sides[fault.m_target % m_sides.size()].m_link;
+void Soak::injectNetworkFault(const Fault& fault) {
+    LoopbackProxy& storeProxy = *m_gateways[fault.m_target % m_gateways.size()].m_storeProxy;
+    LoopbackProxy& linksProxy = *m_workerNodes[fault.m_target % m_workerNodes.size()].m_linksProxy;
     switch (fault.m_kind) {
         case FaultKind::GATEWAY_STORE_SILENT:
-            toStore.setSilent(true);
+            storeProxy.setSilent(true);
             break;
         case FaultKind::GATEWAY_STORE_RESET:
-            toStore.resetAll();
+            storeProxy.resetAll();
             break;
         case FaultKind::GATEWAY_STORE_SLOW:
-            toStore.setDelay(SLOW);
+            storeProxy.setDelay(ADDED_DELAY);
             break;
         case FaultKind::SIDECAR_LINK_SILENT:
-            link.setSilent(true);
+            linksProxy.setSilent(true);
             break;
         case FaultKind::SIDECAR_LINK_RESET:
-            link.resetAll();
+            linksProxy.resetAll();
             break;
         case FaultKind::SIDECAR_LINK_SLOW:
-            link.setDelay(SLOW);
+            linksProxy.setDelay(ADDED_DELAY);
             break;
         default:
             break;
     }
 }
 
-void Soak::strikeStore(const Fault& fault) {
-    constexpr double SOME = 0.3;
+void Soak::injectStoreFault(const Fault& fault) {
+    /** Share of the transactions that are lost or late. */
+    constexpr double AFFECTED_SHARE = 0.3;
     StoreFaults& faults = m_store.m_faults;
     switch (fault.m_kind) {
         case FaultKind::STORE_DOWN:
@@ -100,13 +102,13 @@
             faults.m_isSilent = true;
             break;
         case FaultKind::STORE_SLOW:
-            faults.m_delay = SLOW;
+            faults.m_delay = ADDED_DELAY;
             break;
         case FaultKind::STORE_LOSES:
-            faults.m_lostShare = SOME;
+            faults.m_lostShare = AFFECTED_SHARE;
             break;
         case FaultKind::STORE_LATE:
-            faults.m_lateShare = SOME;
+            faults.m_lateShare = AFFECTED_SHARE;
             break;
         case FaultKind::STORE_DEAF:
             faults.m_isDeaf = true;
@@ -122,9 +124,9 @@
     }
 }
 
-void Soak::strikeWorker(const Fault& fault) {
-    constexpr int SLOWNESS = 4;
-    StandinWorker& worker = *m_sides[fault.m_target % m_sides.size()].m_worker;
+void Soak::injectWorkerFault(const Fault& fault) {
+    constexpr int SLOWDOWN_FACTOR = 4;
+    StandinWorker& worker = *m_workerNodes[fault.m_target % m_workerNodes.size()].m_worker;
     switch (fault.m_kind) {
         case FaultKind::WORKER_RESTART:
             restartWorker(worker);
@@ -136,48 +138,52 @@
             worker.getTasks().m_isHanging = true;
             break;
         case FaultKind::WORKER_SLOW:
-            worker.getTasks().m_slowness = SLOWNESS;
+            worker.getTasks().m_slowness = SLOWDOWN_FACTOR;
             break;
         case FaultKind::WORKER_DRAINS:
-            worker.drain(fault.m_for);
+            worker.drain(fault.m_duration);
             break;
         default:
             break;
     }
 }
 
-/** Some of the calls that are on their way then are done by the next process. */
+/**
+ * With m_keepsIds, delays some starts and holds, so that calls which were sent to one incarnation
+ * are executed by the next. The restarts alternate between the same and a new id.
+ */
 void Soak::restartWorker(StandinWorker& worker) {
     FakeTaskWorker& tasks = worker.getTasks();
     if (!m_options.m_keepsIds) {
         tasks.restart();
         return;
     }
-    constexpr Millis LATE{500};
-    const unsigned turn = m_restarts++;
-    tasks.m_startDelay = LATE;
-    tasks.m_startsToDelay = turn % 3;
-    tasks.m_holdsToDelay = turn % 2;
-    tasks.restart(turn % 2 == 0 ? RestartForm::SAME_ID : RestartForm::NEW_ID);
+    constexpr Millis CALL_DELAY{500};
+    const unsigned restartIndex = m_restarts++;
+    tasks.m_startDelay = CALL_DELAY;
+    tasks.m_startsToDelay = restartIndex % 3;
+    tasks.m_holdsToDelay = restartIndex % 2;
+    tasks.restart(restartIndex % 2 == 0 ? RestartForm::SAME_ID : RestartForm::NEW_ID);
 }
 
-/** Asked for twice, it is one request that stands until it is withdrawn. */
+/** A second request for a domain that is already being evacuated counts as the same request. */
 void Soak::evacuate(const std::string& domain) {
-    const bool stands = std::any_of(m_evacuations.begin(), m_evacuations.end(),
-                                    [&](const Promises::Evacuation& one) {
-                                        return one.m_domain == domain && !one.m_until.has_value();
-                                    });
+    const bool isAlreadyRequested =
+            std::any_of(m_evacuations.begin(), m_evacuations.end(),
+                        [&](const Promises::Evacuation& evacuation) {
+                            return evacuation.m_domain == domain && !evacuation.m_until.has_value();
+                        });
     m_store.getState().put("op/evacuate/" + domain, "{}");
-    if (!stands) {
+    if (!isAlreadyRequested) {
         m_evacuations.push_back({domain, m_loop.now(), std::nullopt});
     }
 }
 
-void Soak::open(const std::string& domain) {
+void Soak::reopen(const std::string& domain) {
     m_store.getState().erase("op/evacuate/" + domain);
-    for (Promises::Evacuation& one : m_evacuations) {
-        if (one.m_domain == domain && !one.m_until.has_value()) {
-            one.m_until = m_loop.now();
+    for (Promises::Evacuation& evacuation : m_evacuations) {
+        if (evacuation.m_domain == domain && !evacuation.m_until.has_value()) {
+            evacuation.m_until = m_loop.now();
         }
     }
 }
@@ -187,25 +193,25 @@
         return;
     }
     Gateway& gateway = m_gateways[fault.m_target % m_gateways.size()];
-    Side& side = m_sides[fault.m_target % m_sides.size()];
+    WorkerNode& node = m_workerNodes[fault.m_target % m_workerNodes.size()];
     switch (fault.m_kind) {
         case FaultKind::GATEWAY_FREEZE:
             gateway.m_process->signal(SIGCONT);
             break;
         case FaultKind::SIDECAR_FREEZE:
-            side.m_process->signal(SIGCONT);
+            node.m_process->signal(SIGCONT);
             break;
         case FaultKind::GATEWAY_STORE_SILENT:
-            gateway.m_toStore->setSilent(false);
+            gateway.m_storeProxy->setSilent(false);
             break;
         case FaultKind::GATEWAY_STORE_SLOW:
-            gateway.m_toStore->setDelay(Millis(0));
+            gateway.m_storeProxy->setDelay(Millis(0));
             break;
         case FaultKind::SIDECAR_LINK_SILENT:
-            side.m_link->setSilent(false);
+            node.m_linksProxy->setSilent(false);
             break;
         case FaultKind::SIDECAR_LINK_SLOW:
-            side.m_link->setDelay(Millis(0));
+            node.m_linksProxy->setDelay(Millis(0));
             break;
         case FaultKind::STORE_DOWN:
         case FaultKind::STORE_SILENT:
@@ -216,21 +222,21 @@
             m_store.m_faults = StoreFaults();
             break;
         case FaultKind::DOMAIN_EVACUATED:
-            open(getDomain(fault.m_target % m_sides.size()));
+            reopen(getDomain(fault.m_target % m_workerNodes.size()));
             break;
         case FaultKind::WORKER_SILENT:
-            side.m_worker->getTasks().m_isSilent = false;
+            node.m_worker->getTasks().m_isSilent = false;
             break;
         case FaultKind::WORKER_HANGS:
-            side.m_worker->getTasks().m_isHanging = false;
+            node.m_worker->getTasks().m_isHanging = false;
             break;
         case FaultKind::WORKER_SLOW:
-            side.m_worker->getTasks().m_slowness = 1;
+            node.m_worker->getTasks().m_slowness = 1;
             break;
         case FaultKind::WORKER_DRAINS:
-            // It has left, and another comes.
-            restartWorker(*side.m_worker);
-            side.m_worker->stopDraining();
+            // The drained worker has left; another incarnation takes its place.
+            restartWorker(*node.m_worker);
+            node.m_worker->stopDraining();
             break;
         default:
             break;
@@ -242,7 +248,7 @@
         heal(fault);
     }
     m_isHealed = true;
-    say("healed");
+    print("healed");
 }
 
 }  // namespace pierbank::testing
--- a/test/soak/main.cpp
+++ b/test/soak/main.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// pierbank-soak: real processes under seeded faults, with the promises checked. docs/SOAK.md.
+// pierbank-soak: runs real processes, injects random faults from a seed and checks the promises
+// that docs/SOAK.md lists. Exits with 0 if all hold, 1 if one was broken and 2 for wrong usage.
 #include <boost/program_options.hpp>
 #include <cstdlib>
 #include <filesystem>
@@ -15,9 +16,10 @@
 using namespace pierbank::testing;
 namespace po = boost::program_options;
 
-constexpr int EXIT_BROKEN = 1;
+constexpr int EXIT_PROMISE_BROKEN = 1;
 constexpr int EXIT_USAGE = 2;
 
+/** Splits a list that is separated by commas; an empty text gives an empty list. */
 std::vector<std::string> split(const std::string& text) {
     std::vector<std::string> parts;
     for (std::size_t from = 0; from < text.size();) {
@@ -28,21 +30,24 @@
     return parts;
 }
 
+/** Prints the names of all kinds of faults. */
 void listFaults() {
     for (std::size_t i = 0; i < FAULT_KINDS; ++i) {
         std::cout << toText(static_cast<FaultKind>(i)) << "\n";
     }
 }
 
+/** Prints the violations, each with the log lines that name its subject. @return the exit status.
+ */
 int report(const Soak& soak, const std::vector<Breach>& breaches) {
     for (const Breach& breach : breaches) {
-        std::cout << "BROKEN: " << breach.m_promise << ": " << breach.m_about << ": "
+        std::cout << "BROKEN: " << breach.m_promise << ": " << breach.m_subject << ": "
                   << breach.m_detail << "\n";
-        for (const std::string& line : soak.findLogLines(breach.m_about)) {
+        for (const std::string& line : soak.findLogLines(breach.m_subject)) {
             std::cout << "    " << line << "\n";
         }
     }
-    return breaches.empty() ? EXIT_SUCCESS : EXIT_BROKEN;
+    return breaches.empty() ? EXIT_SUCCESS : EXIT_PROMISE_BROKEN;
 }
 
 }  // namespace
@@ -51,22 +56,26 @@
     SoakOptions options;
     std::string length = "20s";
     std::string faults;
-    bool isList = false;
+    bool isListRequested = false;
     po::options_description description("pierbank-soak");
-    description.add_options()("seed", po::value(&options.m_seed), "the same seed, the same faults")(
-            "for", po::value(&length), "how long faults strike, as 20s or 5min")(
-            "gateways", po::value(&options.m_gateways), "how many")(
-            "workers", po::value(&options.m_workers), "how many")(
-            "faults", po::value(&faults), "only these kinds, separated by commas")(
+    description.add_options()("seed", po::value(&options.m_seed),
+                              "seed of the faults and the jobs")(
+            "for", po::value(&length), "duration of the fault injection, such as 20s or 5min")(
+            "gateways", po::value(&options.m_gateways), "number of gateways")(
+            "workers", po::value(&options.m_workers), "number of workers")(
+            "faults", po::value(&faults),
+            "kinds of faults to inject, separated by commas; default: all")(
             "evacuate", po::bool_switch(&options.m_evacuates),
-            "failure domains are evacuated and opened again")(
+            "request and withdraw evacuations of failure domains")(
             "keep-ids", po::bool_switch(&options.m_keepsIds),
-            "workers restart under the ids that they had, by turns, and calls to them come late")(
-            "list-faults", po::bool_switch(&isList), "the kinds of faults")(
-            "tools", po::value(&options.m_tools), "folder of pierbank-gateway and -sidecar")(
-            "logs", po::value(&options.m_folder), "folder for logs and settings")(
+            "every second restart of a worker keeps its id, and some calls arrive late")(
+            "list-faults", po::bool_switch(&isListRequested), "list the kinds of faults")(
+            "tools", po::value(&options.m_tools),
+            "folder of pierbank-gateway and pierbank-sidecar")("logs", po::value(&options.m_folder),
+                                                               "folder for logs and settings")(
             "base-port", po::value(&options.m_basePort), "first of 1,100 ports on loopback")(
-            "quiet", po::bool_switch(&options.m_isQuiet), "only the verdict")("help", "this text");
+            "quiet", po::bool_switch(&options.m_isQuiet), "print only the result")(
+            "help", "print this text");
     po::variables_map values;
     try {
         po::store(po::parse_command_line(argc, argv, description), values);
@@ -76,7 +85,7 @@
         return EXIT_USAGE;
     }
     const auto parsed = parseDuration(length);
-    if (isList) {
+    if (isListRequested) {
         listFaults();
         return EXIT_SUCCESS;
     }
