--- a/bench/fleet/main.cpp
+++ b/bench/fleet/main.cpp
@@ -58,7 +58,7 @@
     heartbeat.m_labels = {"a", host.m_rack};
     heartbeat.m_capacity = {128'000, 262'144, 8};
     heartbeat.m_failureDomain = host.m_domain;
-    heartbeat.m_sequence = host.m_worker->countHeartbeat();
+    heartbeat.m_sequence = host.m_worker->nextHeartbeatNumber();
     host.m_agent->handleHeartbeat(heartbeat);
 }
 
--- a/libs/daemon/include/pierbank/daemon/Gateway.h
+++ b/libs/daemon/include/pierbank/daemon/Gateway.h
@@ -61,7 +61,7 @@
     JobCore m_core;
     HttpServer m_callerServer;
     HttpServer m_readinessServer;
-    JobBackend::CallerFigures m_callers;
+    JobBackend::CallerStatistics m_callers;
     JobBackend m_backend;
     OperatorServer m_operators;
     std::size_t m_pendingRequests = 0;
--- a/libs/http/include/pierbank/http/HttpClient.h
+++ b/libs/http/include/pierbank/http/HttpClient.h
@@ -29,7 +29,7 @@
      * request without notice when a persistent connection drops. Other requests therefore use a new
      * connection, which is closed after the response.
      */
-    bool m_mayRepeat = true;
+    bool m_isIdempotent = true;
 };
 
 /** Result of an HttpCall. The status is zero when no complete response was received. */
--- a/libs/http/include/pierbank/http/HttpServer.h
+++ b/libs/http/include/pierbank/http/HttpServer.h
@@ -47,7 +47,7 @@
     /** Sends the response. Has no effect on later calls and after the client has disconnected. */
     virtual void answer(const HttpServerAnswer& answer) = 0;
     /** Sets the callback for a client that disconnects before the response. */
-    virtual void onGone(std::function<void()> callback) = 0;
+    virtual void onDisconnect(std::function<void()> callback) = 0;
 };
 
 /** Limits on the head of a request, which consists of the request line and the headers. */
--- a/libs/http/src/HttpClient.cpp
+++ b/libs/http/src/HttpClient.cpp
@@ -175,7 +175,7 @@
     }
     SoupMessage* message = pending->m_message;
     soup_message_add_flags(message, SOUP_MESSAGE_NO_REDIRECT);
-    if (call.m_mayRepeat) {
+    if (call.m_isIdempotent) {
         // Without this flag, libsoup opens a new connection for each POST and keeps the old ones.
         soup_message_add_flags(message, SOUP_MESSAGE_IDEMPOTENT);
     } else {
--- a/libs/http/src/HttpServer.cpp
+++ b/libs/http/src/HttpServer.cpp
@@ -61,7 +61,9 @@
         soup_server_message_unpause(m_message);
     }
 
-    void onGone(std::function<void()> callback) override { m_onDisconnect = std::move(callback); }
+    void onDisconnect(std::function<void()> callback) override {
+        m_onDisconnect = std::move(callback);
+    }
 
 private:
     static void onFinished(SoupServerMessage*, gpointer data) {
--- a/libs/operators/include/pierbank/operators/JobBackend.h
+++ b/libs/operators/include/pierbank/operators/JobBackend.h
@@ -23,7 +23,7 @@
 class JobBackend final : public OperatorBackend {
 public:
     /** Statistics of callers' requests, for the metrics. */
-    struct CallerFigures {
+    struct CallerStatistics {
         std::uint64_t m_served = 0;
         std::uint64_t m_refused = 0;
         LatencySummary m_latency;
@@ -31,7 +31,7 @@
 
     /** The references must outlive the backend. */
     JobBackend(RecordStore& store, EventLoop& loop, const JobCore& core,
-               const CallerFigures& callers)
+               const CallerStatistics& callers)
             : m_loop(loop), m_core(core), m_callers(callers), m_audit(store, loop) {}
 
     /** Sets the store whose calls are shown in the metrics; it must outlive the backend. */
@@ -74,7 +74,7 @@
 
     EventLoop& m_loop;
     const JobCore& m_core;
-    const CallerFigures& m_callers;
+    const CallerStatistics& m_callers;
     const CountingStore* m_countingStore = nullptr;
     AuditTrail m_audit;
 };
--- a/libs/operators/src/OperatorServer.cpp
+++ b/libs/operators/src/OperatorServer.cpp
@@ -146,7 +146,7 @@
     forwarded.m_target = request.m_target;
     forwarded.m_body = request.m_body;
     forwarded.m_timeout = FORWARD_TIMEOUT;
-    forwarded.m_mayRepeat = false;
+    forwarded.m_isIdempotent = false;
     forwarded.m_headers = {{"Authorization", std::string(request.getHeader("Authorization"))},
                            {std::string(FORWARDED_HEADER), "1"}};
     m_client.send(forwarded, [call](const HttpResult& result) {
--- a/libs/trace/include/pierbank/trace/JobTrace.h
+++ b/libs/trace/include/pierbank/trace/JobTrace.h
@@ -19,7 +19,7 @@
  */
 enum class Cause : std::uint8_t {
     /** No gateway logged an acceptance of the job. */
-    NOT_TAKEN,
+    NOT_ACCEPTED,
     /** Time from the first request to the acceptance. */
     INTAKE,
     /** Time from the acceptance until a leader read the job, with take-overs before its start. */
@@ -38,18 +38,18 @@
     WORK,
 };
 
-constexpr std::size_t CAUSES = static_cast<std::size_t>(Cause::WORK) + 1;
+constexpr std::size_t CAUSE_COUNT = static_cast<std::size_t>(Cause::WORK) + 1;
 
 /** Returns the cause's name as the trace tool prints it. */
 std::string_view toText(Cause cause);
 
 /** Timeline of one job: its requests, outcome, and time by cause. Times are wall times. */
-struct JobStory {
+struct JobTimeline {
     std::string m_id;
     std::string m_queue;
     std::string m_organisation;
     std::string m_priority;
-    std::optional<Millis> m_firstAskedAt;
+    std::optional<Millis> m_firstRequestAt;
     std::optional<Millis> m_acceptedAt;
     std::optional<Millis> m_endedAt;
     /** `succeeded`, `failed` or `cancelled`; empty for a job that has not finished. */
@@ -61,19 +61,19 @@
     /** At least one refusal was a 503 or 504, for which the request was not at fault. */
     bool m_isTurnedAway = false;
     /** Number of 503 and 504 refusals at about the time when another gateway accepted a job. */
-    std::uint32_t m_neededNot = 0;
+    std::uint32_t m_avoidableRefusals = 0;
     /** Not accepted, and no gateway reached the store for as long as the caller retried. */
     bool m_wasOutOfReach = false;
     /** Number of runs that were preempted. */
-    std::uint32_t m_evictions = 0;
+    std::uint32_t m_preemptionCount = 0;
     /** Core-seconds of runs that were preempted. */
-    double m_workLost = 0;
+    double m_wastedCoreSeconds = 0;
     /** Hosts of failed runs, in the order of the failures. */
     std::vector<std::string> m_failedOn;
     /** What an urgent job waited for, in order of time (`stops`, `ends`, `room`, `workers`). */
-    std::vector<std::string> m_waitedFor;
+    std::vector<std::string> m_waitReasons;
     /** Time lost by cause: the maximum over the job's tasks. */
-    std::array<Millis, CAUSES> m_lost{};
+    std::array<Millis, CAUSE_COUNT> m_lost{};
 
     /** Returns whether the job finished after its objective; false without an objective. */
     bool isLate() const;
@@ -93,7 +93,7 @@
      * Sorts the added lines by time and returns the timelines in the order of the first requests.
      * Jobs without a logged request are omitted. To be called once.
      */
-    std::vector<JobStory> tell();
+    std::vector<JobTimeline> tell();
 
 private:
     /** State of one task while the lines are read. */
@@ -103,11 +103,11 @@
         std::optional<Cause> m_delayCause;
         std::optional<Millis> m_placedAt;
         std::string m_stopReason;
-        std::array<Millis, CAUSES> m_lost{};
+        std::array<Millis, CAUSE_COUNT> m_lost{};
     };
     /** State of one job while the lines are read. */
     struct Entry {
-        JobStory m_story;
+        JobTimeline m_story;
         /** Time at which a leader read the job. */
         std::optional<Millis> m_knownAt;
         std::map<std::string, Task> m_tasks;
@@ -121,7 +121,7 @@
     void handleRunEnd(const LogLine& line, Cause cause);
     void countAvoidableRefusals();
     void updateReachability(const LogLine& line);
-    bool wasOutOfReach(const JobStory& story) const;
+    bool wasOutOfReach(const JobTimeline& story) const;
     Entry& getEntry(std::string_view id);
 
     /** Interval in which a gateway reached the store. */
--- a/libs/trace/src/JobTrace.cpp
+++ b/libs/trace/src/JobTrace.cpp
@@ -33,20 +33,20 @@
 }  // namespace
 
 std::string_view toText(Cause cause) {
-    constexpr std::array<std::string_view, CAUSES> NAMES = {"not-taken",  "intake",   "leader",
-                                                            "room",       "evicted",  "stalled",
-                                                            "run-failed", "run-lost", "work"};
+    constexpr std::array<std::string_view, CAUSE_COUNT> NAMES = {
+            "not-taken", "intake",     "leader",   "room", "evicted",
+            "stalled",   "run-failed", "run-lost", "work"};
     return NAMES.at(static_cast<std::size_t>(cause));
 }
 
-bool JobStory::isLate() const {
-    return m_objective > Millis(0) && m_firstAskedAt.has_value() && m_endedAt.has_value() &&
-           *m_endedAt - *m_firstAskedAt > m_objective;
+bool JobTimeline::isLate() const {
+    return m_objective > Millis(0) && m_firstRequestAt.has_value() && m_endedAt.has_value() &&
+           *m_endedAt - *m_firstRequestAt > m_objective;
 }
 
-Cause JobStory::getCause() const {
+Cause JobTimeline::getCause() const {
     if (!m_acceptedAt.has_value()) {
-        return Cause::NOT_TAKEN;
+        return Cause::NOT_ACCEPTED;
     }
     const auto end = m_lost.begin() + static_cast<std::ptrdiff_t>(Cause::WORK);
     const auto longest = std::max_element(m_lost.begin(), end);
@@ -58,7 +58,7 @@
     m_lines.push_back(std::move(line));
 }
 
-std::vector<JobStory> JobTrace::tell() {
+std::vector<JobTimeline> JobTrace::tell() {
     std::stable_sort(m_lines.begin(), m_lines.end(),
                      [](const LogLine& a, const LogLine& b) { return a.m_at < b.m_at; });
     for (const LogLine& line : m_lines) {
@@ -66,22 +66,23 @@
         handleLine(line);
     }
     countAvoidableRefusals();
-    std::vector<JobStory> stories;
+    std::vector<JobTimeline> stories;
     for (auto& [id, entry] : m_entries) {
         for (const auto& [name, task] : entry.m_tasks) {
-            for (std::size_t i = 0; i < CAUSES; ++i) {
+            for (std::size_t i = 0; i < CAUSE_COUNT; ++i) {
                 entry.m_story.m_lost.at(i) =
                         std::max(entry.m_story.m_lost.at(i), task.m_lost.at(i));
             }
         }
-        if (entry.m_story.m_firstAskedAt.has_value()) {
+        if (entry.m_story.m_firstRequestAt.has_value()) {
             entry.m_story.m_wasOutOfReach = wasOutOfReach(entry.m_story);
             stories.push_back(entry.m_story);
         }
     }
-    std::stable_sort(stories.begin(), stories.end(), [](const JobStory& a, const JobStory& b) {
-        return a.m_firstAskedAt < b.m_firstAskedAt;
-    });
+    std::stable_sort(stories.begin(), stories.end(),
+                     [](const JobTimeline& a, const JobTimeline& b) {
+                         return a.m_firstRequestAt < b.m_firstRequestAt;
+                     });
     return stories;
 }
 
@@ -100,7 +101,7 @@
     } else if (line.is("jobs", "known")) {
         handleKnown(line);
     } else if (line.is("jobs", "waits")) {
-        getEntry(getJobOf(line)).m_story.m_waitedFor.emplace_back(line.get("for"));
+        getEntry(getJobOf(line)).m_story.m_waitReasons.emplace_back(line.get("for"));
     } else if (line.is("jobs", "placed")) {
         handlePlaced(line);
     } else if (line.is("jobs", "stopped")) {
@@ -110,7 +111,7 @@
     } else if (line.is("jobs", "run-ended")) {
         handleRunEnd(line, Cause::RUN_FAILED);
     } else if (line.is("jobs", "over") || line.is("jobs", "withdrawn")) {
-        JobStory& story = getEntry(getJobOf(line)).m_story;
+        JobTimeline& story = getEntry(getJobOf(line)).m_story;
         story.m_phase = line.m_event == "over" ? line.get("phase") : "cancelled";
         story.m_endedAt = line.m_at;
     }
@@ -131,11 +132,11 @@
     }
 }
 
-bool JobTrace::wasOutOfReach(const JobStory& story) const {
+bool JobTrace::wasOutOfReach(const JobTimeline& story) const {
     if (story.m_acceptedAt.has_value() || !story.m_isTurnedAway) {
         return false;
     }
-    const Millis from = *story.m_firstAskedAt;
+    const Millis from = *story.m_firstRequestAt;
     const Millis until = from + m_callerTimeout;
     for (const auto& [node, intervals] : m_reachableIntervals) {
         for (const ReachableInterval& interval : intervals) {
@@ -154,9 +155,9 @@
     if (line.get("method") != "POST") {
         return;
     }
-    JobStory& story = getEntry(getJobOf(line)).m_story;
+    JobTimeline& story = getEntry(getJobOf(line)).m_story;
     const Millis requestedAt = line.m_at - line.getMillis("took_ms");
-    story.m_firstAskedAt = std::min(story.m_firstAskedAt.value_or(requestedAt), requestedAt);
+    story.m_firstRequestAt = std::min(story.m_firstRequestAt.value_or(requestedAt), requestedAt);
     if (!line.get("organisation").empty()) {
         story.m_organisation = line.get("organisation");
     }
@@ -169,7 +170,7 @@
     if (line.get("status") == "200") {
         story.m_acceptedAt = story.m_acceptedAt.value_or(line.m_at);
         story.m_lost.at(static_cast<std::size_t>(Cause::INTAKE)) =
-                *story.m_acceptedAt - *story.m_firstAskedAt;
+                *story.m_acceptedAt - *story.m_firstRequestAt;
         return;
     }
     story.m_isTurnedAway = story.m_isTurnedAway || isUnavailable(line);
@@ -210,10 +211,10 @@
     Task& task = entry.m_tasks[std::string(line.get("task"))];
     task.m_stopReason = line.get("why");
     if (task.m_stopReason.starts_with("gave way")) {
-        ++entry.m_story.m_evictions;
-        entry.m_story.m_workLost += static_cast<double>(line.getMillis("ran_ms").count()) /
-                                    MILLIS_PER_SECOND *
-                                    static_cast<double>(line.getMillis("cores").count());
+        ++entry.m_story.m_preemptionCount;
+        entry.m_story.m_wastedCoreSeconds += static_cast<double>(line.getMillis("ran_ms").count()) /
+                                             MILLIS_PER_SECOND *
+                                             static_cast<double>(line.getMillis("cores").count());
     }
 }
 
@@ -258,7 +259,7 @@
                     return other->m_node != line.m_node &&
                            std::chrono::abs(other->m_at - line.m_at) <= MAX_ACCEPTANCE_GAP;
                 });
-        getEntry(getJobOf(line)).m_story.m_neededNot += isAvoidable ? 1 : 0;
+        getEntry(getJobOf(line)).m_story.m_avoidableRefusals += isAvoidable ? 1 : 0;
     }
 }
 
--- a/libs/trace/test/JobTraceTest.cpp
+++ b/libs/trace/test/JobTraceTest.cpp
@@ -42,12 +42,12 @@
         log(millis, node, "intake answered job=" + job + " method=POST status=200 took_ms=10");
         log(millis, node, "jobs known job=" + job + " priority=0 objective_ms=2000 age_ms=5");
     }
-    JobStory tell() {
+    JobTimeline tell() {
         const auto stories = m_trace.tell();
         EXPECT_EQ(stories.size(), 1U);
-        return stories.empty() ? JobStory() : stories.front();
+        return stories.empty() ? JobTimeline() : stories.front();
     }
-    static Millis lost(const JobStory& story, Cause cause) {
+    static Millis lost(const JobTimeline& story, Cause cause) {
         return story.m_lost.at(static_cast<std::size_t>(cause));
     }
 
@@ -63,13 +63,13 @@
     log(3000, "g1", "jobs placed task=a.0.0.0 run=2 host=h2");
     log(4000, "g1", "jobs run-ended task=a.0.0.0 run=2 host=h2 how=done");
     log(4000, "g1", "jobs over job=a phase=succeeded");
-    const JobStory story = tell();
+    const JobTimeline story = tell();
     EXPECT_TRUE(story.isLate());
     EXPECT_EQ(story.getCause(), Cause::EVICTED);
     EXPECT_EQ(lost(story, Cause::EVICTED), Millis(1500));
     EXPECT_EQ(lost(story, Cause::ROOM), Millis(500));
-    EXPECT_EQ(story.m_evictions, 1U);
-    EXPECT_DOUBLE_EQ(story.m_workLost, 20.0);
+    EXPECT_EQ(story.m_preemptionCount, 1U);
+    EXPECT_DOUBLE_EQ(story.m_wastedCoreSeconds, 20.0);
 }
 
 TEST_F(JobTraceTest, ListsTheHostsOfAFailedJob) {
@@ -79,7 +79,7 @@
     log(1100, "g1", "jobs placed task=a.0.0.0 run=2 host=h2");
     log(1200, "g1", "jobs run-ended task=a.0.0.0 run=2 host=h2 how=failed");
     log(1200, "g1", "jobs over job=a phase=failed");
-    const JobStory story = tell();
+    const JobTimeline story = tell();
     EXPECT_EQ(story.m_phase, "failed");
     EXPECT_EQ(story.m_failedOn, (std::vector<std::string>{"h1", "h2"}));
     EXPECT_EQ(story.getCause(), Cause::RUN_FAILED);
@@ -91,9 +91,9 @@
     accept(2050, "g2", "b");
     const auto stories = m_trace.tell();
     ASSERT_EQ(stories.size(), 2U);
-    EXPECT_EQ(stories[0].getCause(), Cause::NOT_TAKEN);
+    EXPECT_EQ(stories[0].getCause(), Cause::NOT_ACCEPTED);
     EXPECT_EQ(stories[0].m_refusals.at("503 lost"), 2U);
-    EXPECT_EQ(stories[0].m_neededNot, 1U);
+    EXPECT_EQ(stories[0].m_avoidableRefusals, 1U);
 }
 
 TEST_F(JobTraceTest, DetectsThatNoGatewayReachedTheStoreWhileTheCallerRetried) {
@@ -108,7 +108,7 @@
     log(2500, "g1", "intake answered job=late method=POST status=503 took_ms=0 reason=lost");
     log(5000, "g2", "configuration store-regained status=ok");
     std::map<std::string, bool> outOfReach;
-    for (const JobStory& story : m_trace.tell()) {
+    for (const JobTimeline& story : m_trace.tell()) {
         outOfReach[story.m_id] = story.m_wasOutOfReach;
     }
     EXPECT_EQ(outOfReach,
@@ -119,7 +119,7 @@
     log(1000, "g1",
         "intake answered job=a method=POST status=503 queue=quick priority=0 organisation=\"\" "
         "took_ms=0 reason=lost");
-    const JobStory story = tell();
+    const JobTimeline story = tell();
     EXPECT_EQ(story.m_queue, "quick");
     EXPECT_EQ(story.m_priority, "0");
 }
@@ -128,14 +128,14 @@
     accept(1000);
     log(1010, "g1", "jobs waits job=a for=ends guaranteed=no loss_core_s=0 age_ms=10");
     log(1400, "g1", "jobs waits job=a for=stops guaranteed=no loss_core_s=30 age_ms=400");
-    EXPECT_EQ(tell().m_waitedFor, (std::vector<std::string>{"ends", "stops"}));
+    EXPECT_EQ(tell().m_waitReasons, (std::vector<std::string>{"ends", "stops"}));
 }
 
 TEST_F(JobTraceTest, OrdersLinesOfSeveralLogs) {
     log(1200, "g2", "jobs over job=a phase=succeeded");
     log(1100, "g2", "jobs placed task=a.0.0.0 run=1 host=h1");
     accept(1000);
-    const JobStory story = tell();
+    const JobTimeline story = tell();
     EXPECT_EQ(lost(story, Cause::ROOM), Millis(100));
     EXPECT_FALSE(story.isLate());
 }
--- a/test/failures/ConfigurationFailuresTest.cpp
+++ b/test/failures/ConfigurationFailuresTest.cpp
@@ -32,7 +32,7 @@
 
 TEST_F(ConfigurationFailuresTest, ThePollFindsAChangeThatTheWatchMisses) {
     const std::uint64_t before = getVersion(0);
-    m_fleet.m_storeState.m_isDeaf = true;
+    m_fleet.m_storeState.m_dropsWatchEvents = true;
     m_fleet.configure({"key-b"});
     m_fleet.m_loop.advance(Millis(1500));
     for (std::size_t i = 0; i < 3; ++i) {
@@ -107,7 +107,7 @@
                 m_fleet.m_storeState.m_isDown = !m_fleet.m_storeState.m_isDown;
                 break;
             case 1:
-                m_fleet.m_storeState.m_isDeaf = !m_fleet.m_storeState.m_isDeaf;
+                m_fleet.m_storeState.m_dropsWatchEvents = !m_fleet.m_storeState.m_dropsWatchEvents;
                 break;
             case 2:
                 m_fleet.killGateway(index);
--- a/test/failures/EvacuationFailuresTest.cpp
+++ b/test/failures/EvacuationFailuresTest.cpp
@@ -400,11 +400,11 @@
 }
 
 TEST_F(EvacuationTest, ARequestIsFoundWithoutHistoryOrWatchEvents) {
-    m_fleet.m_storeState.m_isDeaf = true;
+    m_fleet.m_storeState.m_dropsWatchEvents = true;
     evacuate("d1");
     m_fleet.m_loop.advance(Millis(1000));
-    m_fleet.m_storeState.m_historyFrom = m_fleet.m_storeState.getRevision();
-    m_fleet.m_storeState.m_isDeaf = false;
+    m_fleet.m_storeState.m_historyStart = m_fleet.m_storeState.getRevision();
+    m_fleet.m_storeState.m_dropsWatchEvents = false;
     m_fleet.m_loop.advance(Millis(1000));
     submitMany(6, WHOLE, "60000");
     EXPECT_EQ(countStartsIn("d1"), 0U);
@@ -483,10 +483,10 @@
                 state.m_writesToDelay = 2;
                 break;
             case DROP_WATCH_EVENTS:
-                state.m_isDeaf = !state.m_isDeaf;
+                state.m_dropsWatchEvents = !state.m_dropsWatchEvents;
                 break;
             case DROP_HISTORY:
-                state.m_historyFrom = state.getRevision();
+                state.m_historyStart = state.getRevision();
                 break;
             case FREEZE:
                 m_fleet.m_gateways[gateway].m_loop->freeze();
--- a/test/failures/FollowersTest.cpp
+++ b/test/failures/FollowersTest.cpp
@@ -128,7 +128,7 @@
 
 TEST_F(FollowersTest, ATerminatedLeaderIsReplacedWithoutWatchEvents) {
     m_fleet.m_loop.advance(Millis(15'000));
-    m_fleet.m_storeState.m_isDeaf = true;
+    m_fleet.m_storeState.m_dropsWatchEvents = true;
     m_fleet.killGateway(getLeader());
     EXPECT_TRUE(m_fleet.waitForLeader(Millis(3000)));
 }
@@ -164,7 +164,8 @@
                     m_fleet.m_storeState.find(std::string(CONFIGURATION_KEY));
             switch (random.below(9)) {
                 case 0:
-                    m_fleet.m_storeState.m_isDeaf = !m_fleet.m_storeState.m_isDeaf;
+                    m_fleet.m_storeState.m_dropsWatchEvents =
+                            !m_fleet.m_storeState.m_dropsWatchEvents;
                     break;
                 case 1:
                     m_fleet.m_storeState.m_isDown = !m_fleet.m_storeState.m_isDown;
--- a/test/failures/JobFailuresTest.cpp
+++ b/test/failures/JobFailuresTest.cpp
@@ -137,20 +137,20 @@
 
 /** A list returns cancellations before the jobs that they refer to. */
 TEST_F(JobFailuresTest, AJobAndItsCancellationThatAWatchMissedAreBothFound) {
-    m_fleet.m_storeState.m_isDeaf = true;
+    m_fleet.m_storeState.m_dropsWatchEvents = true;
     const std::size_t gateway = getFollower();
     m_fleet.m_network.cut(m_fleet.m_gateways[getLeader()].m_name,
                           m_fleet.m_gateways[gateway].m_name);
     m_fleet.submit(ID, SMALL, "9000", "/batch/", gateway);
     EXPECT_EQ(m_fleet.sendRequest(gateway, "DELETE", std::string("/batch/") + ID).m_status, 200U);
-    m_fleet.m_storeState.m_historyFrom = m_fleet.m_storeState.getRevision();
-    m_fleet.m_storeState.m_isDeaf = false;
+    m_fleet.m_storeState.m_historyStart = m_fleet.m_storeState.getRevision();
+    m_fleet.m_storeState.m_dropsWatchEvents = false;
     EXPECT_TRUE(m_fleet.waitForState(ID, "canceled", Millis(8000)));
     EXPECT_EQ(m_fleet.m_witness.countStarts(taskOf(ID)), 0U);
 }
 
 TEST_F(JobFailuresTest, ALeaderWithoutWatchEventsReceivesAJobFromItsGateway) {
-    m_fleet.m_storeState.m_isDeaf = true;
+    m_fleet.m_storeState.m_dropsWatchEvents = true;
     m_fleet.submit(ID, SMALL, "9000", "/batch/", getFollower());
     m_fleet.m_loop.advance(Millis(100));
     EXPECT_TRUE(m_fleet.m_witness.isRunning(taskOf(ID)));
@@ -225,13 +225,13 @@
 }
 
 TEST_F(JobFailuresTest, AKeyRevokedWithoutAWatchEventIsRefused) {
-    m_fleet.m_storeState.m_isDeaf = true;
+    m_fleet.m_storeState.m_dropsWatchEvents = true;
     m_fleet.configure({"key-b"});
     EXPECT_EQ(m_fleet.submit(ID, SMALL, "300").m_status, 401U);
 }
 
 TEST_F(JobFailuresTest, ANewKeyWithoutAWatchEventIsAccepted) {
-    m_fleet.m_storeState.m_isDeaf = true;
+    m_fleet.m_storeState.m_dropsWatchEvents = true;
     m_fleet.configure({"key-b"});
     EXPECT_EQ(m_fleet.sendRequest(0, "GET", "/batch/", "", "key-b").m_status, 200U);
 }
--- a/test/failures/WorkerFailuresTest.cpp
+++ b/test/failures/WorkerFailuresTest.cpp
@@ -78,7 +78,7 @@
     m_fleet.submit(ID, SMALL, "1500");
     m_fleet.m_loop.advance(Millis(300));
     for (auto& sidecar : m_fleet.m_sidecars) {
-        sidecar.m_worker->m_isHanging = sidecar.m_worker->countRunning() > 0;
+        sidecar.m_worker->m_areRunsStalled = sidecar.m_worker->countRunning() > 0;
     }
     EXPECT_TRUE(m_fleet.waitForState(ID, "succeeded", Millis(6000)));
     EXPECT_EQ(m_fleet.m_witness.countStarts(taskOf(ID)), 2U);
@@ -97,7 +97,7 @@
         m_fleet.m_loop.advance(Millis(50));
         m_hanging = findWorker(taskOf(ID));
         ASSERT_TRUE(m_hanging.has_value());
-        getSidecar(*m_hanging).m_worker->m_isHanging = true;
+        getSidecar(*m_hanging).m_worker->m_areRunsStalled = true;
         getSidecar(*m_hanging).m_worker->m_stalledPercent = 3;
     }
 
@@ -139,7 +139,7 @@
 /** A job whose declared time is far too short must not be restarted without limit. */
 TEST_F(WorkerFailuresTest, ARunThatStallsOnEachHostIsMovedTwiceOnly) {
     for (auto& sidecar : m_fleet.m_sidecars) {
-        sidecar.m_worker->m_isHanging = true;
+        sidecar.m_worker->m_areRunsStalled = true;
         sidecar.m_worker->m_stalledPercent = 0;
     }
     m_fleet.submit(ID, SMALL, "600000", "/urgent/");
@@ -164,14 +164,14 @@
 
 TEST_F(WorkerFailuresTest, AGangWithoutProgressFromItsStartIsStartedElsewhere) {
     for (auto& sidecar : m_fleet.m_sidecars) {
-        sidecar.m_worker->m_isHanging = true;
+        sidecar.m_worker->m_areRunsStalled = true;
         sidecar.m_worker->m_stalledPercent = 0;
     }
     m_fleet.submit(ID, R"({"count":2,"cpu":1000,"mem_mb":100,"gpu":4,"est_ms":1000,"gang":true})",
                    "1000", "/urgent/");
     m_fleet.m_loop.advance(Millis(300));
     for (auto& sidecar : m_fleet.m_sidecars) {
-        sidecar.m_worker->m_isHanging = sidecar.m_worker->countRunning() > 0;
+        sidecar.m_worker->m_areRunsStalled = sidecar.m_worker->countRunning() > 0;
     }
     EXPECT_TRUE(m_fleet.waitForState(ID, "succeeded", Millis(6000), "/urgent/"));
     EXPECT_EQ(m_fleet.m_witness.countStarts(taskOf(ID)), 2U);
--- a/test/soak/SoakFaults.cpp
+++ b/test/soak/SoakFaults.cpp
@@ -111,7 +111,7 @@
             faults.m_lateShare = AFFECTED_SHARE;
             break;
         case FaultKind::STORE_DEAF:
-            faults.m_isDeaf = true;
+            faults.m_dropsWatchEvents = true;
             break;
         case FaultKind::STORE_FORGETS:
             m_store.forgetHistory();
@@ -135,7 +135,7 @@
             worker.getTasks().m_isSilent = true;
             break;
         case FaultKind::WORKER_HANGS:
-            worker.getTasks().m_isHanging = true;
+            worker.getTasks().m_areRunsStalled = true;
             break;
         case FaultKind::WORKER_SLOW:
             worker.getTasks().m_slowness = SLOWDOWN_FACTOR;
@@ -228,7 +228,7 @@
             node.m_worker->getTasks().m_isSilent = false;
             break;
         case FaultKind::WORKER_HANGS:
-            node.m_worker->getTasks().m_isHanging = false;
+            node.m_worker->getTasks().m_areRunsStalled = false;
             break;
         case FaultKind::WORKER_SLOW:
             node.m_worker->getTasks().m_slowness = 1;
--- a/test/support/FakeRecordStore.cpp
+++ b/test/support/FakeRecordStore.cpp
@@ -59,7 +59,7 @@
 }
 
 StoreCommit FakeStoreState::apply(const StoreTransaction& transaction) {
-    dropLapsed();
+    removeLapsedLeases();
     StoreCommit commit;
     commit.m_status = StoreStatus::OK;
     for (const StoreCondition& condition : transaction.m_conditions) {
@@ -121,7 +121,7 @@
 }
 
 bool FakeStoreState::renewLease(StoreLease lease) {
-    dropLapsed();
+    removeLapsedLeases();
     const auto found = m_leases.find(lease);
     if (found == m_leases.end()) {
         return false;
@@ -142,7 +142,7 @@
     m_leases.erase(found);
 }
 
-void FakeStoreState::dropLapsed() {
+void FakeStoreState::removeLapsedLeases() {
     std::vector<StoreLease> lapsed;
     for (const auto& [lease, entry] : m_leases) {
         if (m_loop.now() >= entry.m_until) {
@@ -154,7 +154,7 @@
     }
 }
 
-void FakeStoreState::lapseAll() {
+void FakeStoreState::expireAllLeases() {
     while (!m_leases.empty()) {
         endLease(m_leases.begin()->first);
     }
@@ -162,7 +162,7 @@
 
 void FakeRecordStore::call(std::function<void(StoreStatus)> answer) {
     m_loop.callLater(m_state.nextLatency(), [this, answer = std::move(answer)] {
-        m_state.dropLapsed();
+        m_state.removeLapsedLeases();
         if (m_state.m_cutOff.count(m_process) != 0) {
             m_loop.callLater(CUT_TIMEOUT, [answer] { answer(StoreStatus::UNKNOWN); });
             return;
@@ -257,7 +257,7 @@
         StoreChanges changes;
         changes.m_status = status;
         changes.m_at = after;
-        const bool isHistoryGone = after < m_state.m_historyFrom;
+        const bool isHistoryGone = after < m_state.m_historyStart;
         if (status == StoreStatus::OK && isHistoryGone) {
             changes.m_status = StoreStatus::HISTORY_COMPACTED;
         }
@@ -265,7 +265,7 @@
             done(changes);
             return;
         }
-        if (!m_state.m_isDeaf) {
+        if (!m_state.m_dropsWatchEvents) {
             changes.m_events = m_state.getChanges(prefix, after);
         }
         if (!changes.m_events.empty()) {
--- a/test/support/FakeRecordStore.h
+++ b/test/support/FakeRecordStore.h
@@ -49,9 +49,9 @@
     /** Maximum additional latency; it varies from call to call, so that answers are reordered. */
     Millis m_jitter{0};
     /** Whether watches report no events. */
-    bool m_isDeaf = false;
+    bool m_dropsWatchEvents = false;
     /** Watches that start before this revision fail with HISTORY_COMPACTED. */
-    StoreRevision m_historyFrom = 0;
+    StoreRevision m_historyStart = 0;
     /** Lists of a prefix that get no answer, and how many of the next ones. */
     struct LostLists {
         std::string m_prefix;
@@ -86,9 +86,9 @@
     /** Removes a lease with its keys; does nothing if it doesn't exist. */
     void endLease(StoreLease lease);
     /** Ends the leases whose time is over and removes their keys. */
-    void dropLapsed();
+    void removeLapsedLeases();
     /** Ends all leases at once. */
-    void lapseAll();
+    void expireAllLeases();
 
 private:
     struct Lease {
--- a/test/support/FakeTaskWorker.cpp
+++ b/test/support/FakeTaskWorker.cpp
@@ -270,9 +270,9 @@
         const auto passed = (m_loop.now() - run.m_startedAt).count();
         const auto length = std::max<std::int64_t>(1, (run.m_endsAt - run.m_startedAt).count());
         const bool lasts = run.m_isServing || run.m_isFilling;
-        const auto percent = m_isHanging ? m_stalledPercent
-                             : lasts     ? 100
-                                         : std::min<std::int64_t>(100, 100 * passed / length);
+        const auto percent = m_areRunsStalled ? m_stalledPercent
+                             : lasts          ? 100
+                                              : std::min<std::int64_t>(100, 100 * passed / length);
         reply.m_running.push_back({task, run.m_number, "", static_cast<std::uint32_t>(percent),
                                    run.m_isServing ? getTailLatency() : 0U});
     }
@@ -409,7 +409,7 @@
         }
         if (getClock() >= m_until) {
             ends.emplace_back(task, RunEnd::LAPSED);
-        } else if (m_loop.now() >= run.m_endsAt && !m_isHanging) {
+        } else if (m_loop.now() >= run.m_endsAt && !m_areRunsStalled) {
             ends.emplace_back(task, run.m_fails ? RunEnd::FAILED : RunEnd::DONE);
         }
     }
--- a/test/support/FakeTaskWorker.h
+++ b/test/support/FakeTaskWorker.h
@@ -70,7 +70,7 @@
     const std::string& getId() const { return m_id; }
     WorkerIncarnation getIncarnation() const { return {m_id, m_processStartedAt}; }
     /** Returns the number of the next heartbeat, from 1 in each incarnation. */
-    std::uint64_t countHeartbeat() { return ++m_heartbeatCount; }
+    std::uint64_t nextHeartbeatNumber() { return ++m_heartbeatCount; }
     /** Number of next starts that are carried out after m_startDelay and get no answer. */
     unsigned m_startsToDelay = 0;
     Millis m_startDelay{2000};
@@ -82,7 +82,7 @@
     /** Number of starts refused for m_refusal. */
     std::size_t m_refusalCount = 0;
     /** Whether runs are stalled while the worker goes on answering. */
-    bool m_isHanging = false;
+    bool m_areRunsStalled = false;
     /** Progress in percent that stalled runs report. */
     std::int64_t m_stalledPercent = 50;
     /** Factor by which runs take longer. */
--- a/test/support/JobFleet.cpp
+++ b/test/support/JobFleet.cpp
@@ -130,7 +130,7 @@
     heartbeat.m_remaining = sidecar.m_remaining;
     heartbeat.m_warmUpRemaining = sidecar.m_warmUpRemaining;
     heartbeat.m_failureDomain = "d" + std::to_string(index / 4);
-    heartbeat.m_sequence = sidecar.m_worker->countHeartbeat();
+    heartbeat.m_sequence = sidecar.m_worker->nextHeartbeatNumber();
     return heartbeat;
 }
 
--- a/test/support/JobFleet.h
+++ b/test/support/JobFleet.h
@@ -35,8 +35,8 @@
         std::unique_ptr<FakeTransport> m_transport;
         std::unique_ptr<FakeRecordStore> m_store;
         std::unique_ptr<JobCore> m_core;
-        std::unique_ptr<JobBackend::CallerFigures> m_callers =
-                std::make_unique<JobBackend::CallerFigures>();
+        std::unique_ptr<JobBackend::CallerStatistics> m_callers =
+                std::make_unique<JobBackend::CallerStatistics>();
         std::unique_ptr<JobBackend> m_backend;
     };
     struct Sidecar {
--- a/tools/command/GatewayClient.cpp
+++ b/tools/command/GatewayClient.cpp
@@ -25,7 +25,7 @@
     call.m_headers = {{"Authorization", "Bearer " + m_token}};
     call.m_body = statement;
     call.m_timeout = STATEMENT_TIMEOUT;
-    call.m_mayRepeat = false;
+    call.m_isIdempotent = false;
     HttpResult answer;
     GlibEventLoop loop;
     m_client.send(call, [&](const HttpResult& result) {
--- a/tools/trace/main.cpp
+++ b/tools/trace/main.cpp
@@ -34,13 +34,13 @@
 };
 
 /** Returns whether the job was late, failed or not accepted. */
-bool isBad(const JobStory& story) {
+bool isBad(const JobTimeline& story) {
     const bool isNotAccepted = !story.m_acceptedAt.has_value() && story.m_isTurnedAway;
     return isNotAccepted || story.m_phase == "failed" || story.isLate();
 }
 
-void printStory(const JobStory& story) {
-    const Millis took = story.m_endedAt.value_or(*story.m_firstAskedAt) - *story.m_firstAskedAt;
+void printStory(const JobTimeline& story) {
+    const Millis took = story.m_endedAt.value_or(*story.m_firstRequestAt) - *story.m_firstRequestAt;
     std::printf(
             "%s queue=%s organisation=%s priority=%s %s took_ms=%lld objective_ms=%lld%s cause=%s",
             story.m_id.c_str(), story.m_queue.c_str(), story.m_organisation.c_str(),
@@ -50,16 +50,17 @@
                                             : story.m_phase.c_str(),
             static_cast<long long>(took.count()), static_cast<long long>(story.m_objective.count()),
             story.isLate() ? " LATE" : "", std::string(toText(story.getCause())).c_str());
-    for (std::size_t i = 0; i < CAUSES; ++i) {
+    for (std::size_t i = 0; i < CAUSE_COUNT; ++i) {
         if (story.m_lost.at(i) > Millis(0)) {
             std::printf(" %s_ms=%lld", std::string(toText(static_cast<Cause>(i))).c_str(),
                         static_cast<long long>(story.m_lost.at(i).count()));
         }
     }
-    if (story.m_evictions > 0) {
-        std::printf(" evictions=%u work_lost_core_s=%.1f", story.m_evictions, story.m_workLost);
+    if (story.m_preemptionCount > 0) {
+        std::printf(" evictions=%u work_lost_core_s=%.1f", story.m_preemptionCount,
+                    story.m_wastedCoreSeconds);
     }
-    for (const std::string& awaited : story.m_waitedFor) {
+    for (const std::string& awaited : story.m_waitReasons) {
         std::printf(" waited_for=%s", awaited.c_str());
     }
     for (const std::string& host : story.m_failedOn) {
@@ -71,22 +72,22 @@
     if (story.m_wasOutOfReach) {
         std::printf(" no_gateway_reached_the_store");
     }
-    if (story.m_neededNot > 0) {
-        std::printf(" refused_while_another_took=%u", story.m_neededNot);
+    if (story.m_avoidableRefusals > 0) {
+        std::printf(" refused_while_another_took=%u", story.m_avoidableRefusals);
     }
     std::printf("\n");
 }
 
-void printTotals(const std::vector<JobStory>& stories) {
+void printTotals(const std::vector<JobTimeline>& stories) {
     std::map<Cause, CauseTotals> causes;
     std::uint32_t evictions = 0;
     double lostWork = 0;
     std::uint32_t refusedWhileAccepted = 0;
     std::uint32_t storeUnreachable = 0;
-    for (const JobStory& story : stories) {
-        evictions += story.m_evictions;
-        lostWork += story.m_workLost;
-        refusedWhileAccepted += story.m_neededNot;
+    for (const JobTimeline& story : stories) {
+        evictions += story.m_preemptionCount;
+        lostWork += story.m_wastedCoreSeconds;
+        refusedWhileAccepted += story.m_avoidableRefusals;
         storeUnreachable += story.m_wasOutOfReach ? 1 : 0;
         if (!isBad(story)) {
             continue;
@@ -176,7 +177,7 @@
         return exit;
     }
     // Each log is traced separately, because the same job id in two logs means different jobs.
-    std::vector<JobStory> stories;
+    std::vector<JobTimeline> stories;
     for (const std::string& name : options->m_files) {
         std::ifstream file;
         if (name != "-") {
@@ -187,11 +188,11 @@
             std::cerr << "pierbank-trace: " << name << ": no log of a gateway\n";
             return EXIT_USAGE;
         }
-        for (JobStory& story : trace.tell()) {
+        for (JobTimeline& story : trace.tell()) {
             stories.push_back(std::move(story));
         }
     }
-    for (const JobStory& story : stories) {
+    for (const JobTimeline& story : stories) {
         const bool isSelected = options->m_job.empty() || story.m_id == options->m_job;
         if (!options->m_onlyTotals && isSelected && (!options->m_onlyBad || isBad(story))) {
             printStory(story);
