--- a/test/failures/RequestFailuresTest.cpp
+++ b/test/failures/RequestFailuresTest.cpp
@@ -125,7 +125,7 @@
     IntakeAnswer answer;
     m_fleet.m_gateways[gateway].m_core->getIntake().handle(
             request, [&](const IntakeAnswer& received) { answer = received; });
-    m_fleet.m_loop.advance(request.m_patience);
+    m_fleet.m_loop.advance(request.m_timeout);
     EXPECT_EQ(answer.m_status, 200U) << answer.m_reason;
 }
 
--- a/test/support/FakeAdvisor.h
+++ b/test/support/FakeAdvisor.h
@@ -32,7 +32,7 @@
             }
         }
         static_cast<void>(step);
-        m_loop.callLater(m_isDown ? patience : LATENCY, [this, reply, done = std::move(done)] {
+        m_loop.callLater(m_isDown ? timeout : LATENCY, [this, reply, done = std::move(done)] {
             --m_pendingCount;
             done(reply);
         });
