--- a/libs/control/include/pierbank/control/HostSpeeds.h
+++ b/libs/control/include/pierbank/control/HostSpeeds.h
@@ -39,7 +39,7 @@
     void recordSample(const SpeedSample& sample, Millis now);
     /** Returns the factor by which work takes longer than on an average host; 1 without samples. */
     double getSlowness(std::string_view host) const;
-    /** Returns the number of samples of the host, of which older ones count less. */
+    /** Returns the number of samples of the host, weighted so that older samples count less. */
     double getEvidence(std::string_view host) const;
     void clear();
 
@@ -52,8 +52,10 @@
     /** Weight, in samples, of the assumption that a host is average. Follows from the spread of
      * log(rate): 0.15 between runs on one host, 0.2 between hosts. */
     static constexpr double PRIOR_RUNS = 0.6;
-    /** Maximum deviation of log(rate). A run that is slower by more than a factor of four was
-     * delayed by something else than the speed of its host. */
+    /**
+     * Maximum deviation of log(rate). A run that is slower by more than a factor of four was
+     * delayed by something other than the speed of its host.
+     */
     static constexpr double MAX_LOG_DEVIATION = 1.4;
     /** Time without samples after which a step is removed. */
     static constexpr Millis STEP_RETENTION{60'000};
--- a/libs/control/include/pierbank/control/JobController.h
+++ b/libs/control/include/pierbank/control/JobController.h
@@ -39,7 +39,7 @@
     UrgentDemandSettings m_demand;
     EvacuationFeedSettings m_evacuations;
     /**
-     * Time from learning of an evacuation until the runs in its failure domain that have not
+     * Time from the receipt of an evacuation until the runs in its failure domain that have not
      * started are revoked. Orders that are already in flight normally start within milliseconds. A
      * further fifth of EvacuationFeedSettings::m_maxEnforcementDelay remains for delivering the
      * revocations.
@@ -115,7 +115,7 @@
     DRAIN,
 };
 
-/** Returns the word for a state in statements and in the store. */
+/** Returns the text of a state in statements and in the store. */
 std::string_view toText(WorkerAdminState state);
 
 /** How the leader found out that the runs of a worker no longer run. */
@@ -202,13 +202,15 @@
         m_getFitness = std::move(getFitness);
     }
 
-    /** Returns the jobs that the leader knows; empty while it does not lead. */
+    /**
+     * Returns the jobs that this gateway has loaded as the leader; empty while it does not lead.
+     */
     const JobTable& getJobs() const noexcept { return m_jobs; }
-    /** Returns the hosts that the leader knows, with their links and last notices. */
+    /** Returns the hosts that are known to the leader, with their links and last notices. */
     const WorkerPool& getWorkers() const noexcept { return m_workers; }
     /**
-     * Returns why a plan made now would leave a job in its state; empty if the plan gives no
-     * explanation for the job.
+     * Returns the reason for a job's present state according to a plan made now; empty if the plan
+     * gives no explanation for the job.
      */
     std::string getExplanation(const std::string& job) const;
     /**
@@ -240,8 +242,8 @@
         return m_statementEvacuations;
     }
     /**
-     * Returns whether a failure domain is under evacuation by either means, so that no run may
-     * start in it.
+     * Returns whether a failure domain is under evacuation by the platform's operators or by a
+     * statement, so that no run may start in it.
      */
     bool isEvacuated(std::string_view domain) const;
 
--- a/libs/control/include/pierbank/control/JobCore.h
+++ b/libs/control/include/pierbank/control/JobCore.h
@@ -50,12 +50,12 @@
      * @return false, with `reason`, if the address for links can't be listened on.
      */
     bool start(Reason& reason);
-    /** Gives up the leadership for good, so that another gateway can take it over. */
+    /** Releases the leadership permanently, so that another gateway can take it over. */
     void release() { m_lock.release(); }
 
     /** Returns the handler of requests about jobs. */
     JobIntake& getIntake() noexcept { return m_intake; }
-    /** Returns the operators' configuration as this gateway knows it. */
+    /** Returns the operators' configuration as it is known to this gateway at present. */
     const ConfigurationFeed& getConfiguration() const noexcept { return m_configuration; }
     /**
      * Returns whether requests can be served: the store was reached within `maxAge`, or this
--- a/libs/control/include/pierbank/control/ProgressTracker.h
+++ b/libs/control/include/pierbank/control/ProgressTracker.h
@@ -46,8 +46,8 @@
     /**
      * Share of the declared run time after which a run that has not made any progress yet is
      * stalled: it is fifteen times too slow by then. Slow hosts are up to seven times too slow, and
-     * declared times are off by half. The bound is relative, because with a fixed one runs of an
-     * hour, which need 36 s for one percent, were taken for stalled, and an urgent run was started
+     * declared times are off by half. The bound is relative, because with a fixed bound runs of an
+     * hour, which need 36 s for one percent, counted as stalled, and an urgent run was started
      * again many times a minute.
      */
     static constexpr double STALL_ESTIMATE_SHARE = 0.15;
--- a/libs/control/include/pierbank/control/WaveController.h
+++ b/libs/control/include/pierbank/control/WaveController.h
@@ -40,7 +40,7 @@
 
 /** Settings of a WaveController. */
 struct WaveControllerSettings {
-    /** This gateway's name as the holder of orders. */
+    /** Name of this gateway's node, which each order for upkeep states as its holder. */
     std::string m_node;
     /** Duration of one long-polling watch call for waves. */
     Millis m_watchWait{10'000};
@@ -60,9 +60,9 @@
 /**
  * Carries out upkeep waves while this gateway leads. In a wave, the operators request the upkeep of
  * each machine of a list within a given time and with a limit on the machines that are down at
- * once. Workers are drained before the upkeep of their machine as far as time permits. The store
- * holds the machines whose upkeep has started, so that the next leader does not start it twice.
- * Owned by JobCore; runs on the event loop only.
+ * once. Workers are drained before the upkeep of their machine as far as time permits. The machines
+ * whose upkeep has started are recorded in the store, so that the next leader does not start their
+ * upkeep twice. Owned by JobCore; runs on the event loop only.
  */
 class WaveController {
 public:
--- a/libs/control/include/pierbank/control/WorkerHealth.h
+++ b/libs/control/include/pierbank/control/WorkerHealth.h
@@ -31,7 +31,7 @@
     /** Factor applied to the failure score after a successful run that started after the last
      * failure. */
     double m_successFactor = 0.4;
-    /** Failure score from which a host is suspect: one quick failure, or two others. */
+    /** Failure score from which a host is suspect: one quick failure, or two other failures. */
     double m_suspectThreshold = 0.75;
     /** Failure score from which a host is avoided for a time: quick failures of two jobs. */
     double m_avoidThreshold = 1.5;
@@ -40,8 +40,10 @@
     double m_avoidTimeFactor = 0.5;
     /** Maximum time for which a host is avoided; grows with run times by `m_halfLifeFactor`. */
     Millis m_maxAvoidTime{60'000};
-    /** Time for which the hosts on which a job failed are remembered, as a multiple of the
-     * half-life in force. */
+    /**
+     * Time for which the hosts on which a job failed are stored, as a multiple of the half-life in
+     * force.
+     */
     double m_jobRetentionFactor = 4.0;
 };
 
--- a/libs/control/src/JobController.cpp
+++ b/libs/control/src/JobController.cpp
@@ -158,8 +158,8 @@
 }
 
 /**
- * Never true without a recent list of evacuations: the plan could place work in evacuated failure
- * domains.
+ * Returns false without a recent list of evacuations, since the plan could place work in evacuated
+ * failure domains.
  */
 bool JobController::isPlanDue() const {
     if (!m_evacuations.isUpToDate() || m_loop.now() < m_planThrottle.getNextAt()) {
@@ -170,7 +170,9 @@
     return m_isPlanStale || m_loop.now() - m_plannedAt >= interval;
 }
 
-/** Ends the unfinished jobs whose cancel was requested, and queues the stops of their runs. */
+/**
+ * Cancels the unfinished jobs for which a cancel was requested, and queues the stops of their runs.
+ */
 void JobController::applyCancels() {
     for (auto& [id, entry] : m_jobs) {
         if (!entry.m_isCancelRequested || entry.m_run.isFinished()) {
@@ -318,7 +320,7 @@
     return !m_leavingWorkers.empty() && m_leavingWorkers.count(parseWorkerId(incarnation)) != 0;
 }
 
-/** Performs the periodic work; the step that it schedules also covers due occurrences. */
+/** Performs the periodic work; the scheduled step also adds the due occurrences. */
 void JobController::tick() {
     removeFinishedJobs();
     resendLostOrders();
--- a/libs/control/src/JobControllerCommits.cpp
+++ b/libs/control/src/JobControllerCommits.cpp
@@ -34,7 +34,7 @@
 
 /**
  * Commits the changed jobs, highest priority first; jobs beyond the maximum size of a transaction
- * follow in the next one.
+ * follow in the next transaction.
  */
 void JobController::commitDirty() {
     StoreTransaction transaction;
@@ -63,7 +63,8 @@
     ++m_statistics.m_commits;
     CommitRetryPolicy retryPolicy;
     retryPolicy.m_retriesRefusals = true;
-    // Messages and ends that are added while this transaction is pending belong to the next one.
+    // Messages and ends that are added while this transaction is pending belong to the next
+    // transaction.
     for (const std::string& id : ids) {
         JobEntry& entry = m_jobs.find(id)->second;
         entry.m_committingMessages = std::exchange(entry.m_pendingMessages, {});
--- a/libs/control/src/JobControllerGateways.cpp
+++ b/libs/control/src/JobControllerGateways.cpp
@@ -45,8 +45,8 @@
 }
 
 /**
- * False as soon as this gateway's lease may have expired: the next leader may then have jobs that
- * this gateway does not know.
+ * Returns false as soon as this gateway's lease may have expired: the next leader may then have
+ * jobs that this gateway does not know.
  */
 bool JobController::isLeadershipConfirmed() const {
     return m_isLoaded && m_loop.now() - m_getConfirmedAt() <= m_settings.m_maxConfirmationAge;
--- a/libs/control/src/JobControllerLosses.cpp
+++ b/libs/control/src/JobControllerLosses.cpp
@@ -46,7 +46,7 @@
 
 namespace {
 
-/** @return the notice's crash of an incarnation, or null. */
+/** @return the crash of an incarnation as reported in the notice; null if there is none. */
 const WorkerCrash* findCrash(const WorkerNotice& notice, const std::string& incarnation) {
     const auto found = std::find_if(
             notice.m_crashes.begin(), notice.m_crashes.end(),
@@ -92,8 +92,8 @@
 
 /**
  * Returns the category of a loss. Returns nothing if the loss is no evidence against a task or a
- * host (the worker had left or was leaving, or a start or stop of the run was still to be sent),
- * and if classifyCrash() handles the loss with the crash of the worker.
+ * host (the worker had left or was leaving, or a start or stop of the run was still to be sent), or
+ * if classifyCrash() handles the loss with the crash of the worker.
  */
 std::optional<LossCategory> JobController::classifyLoss(const JobEntry& entry, const ActiveRun& run,
                                                         LossCause cause) const {
@@ -129,7 +129,10 @@
                                             });
 }
 
-/** Classifies the crashes that have not been classified in this term; notices repeat them. */
+/**
+ * Classifies the crashes that have not been classified in this term; later notices report the same
+ * crashes again.
+ */
 void JobController::classifyCrashes(const std::string& host, const WorkerNotice& notice) {
     for (const WorkerCrash& crash : notice.m_crashes) {
         if (m_classifiedIncarnations.insert(crash.m_incarnation).second) {
@@ -197,7 +200,7 @@
     applyEffect(entry, failIfProvenFaulty(entry.m_run, key, m_loop.wallNow()));
 }
 
-/** Removes an unresolved loss that has turned out not to be one. */
+/** Removes an unresolved loss that has turned out not to be evidence of a crash. */
 void JobController::discardUnresolvedLoss(JobEntry& entry, const TaskKey& key,
                                           const RunLoss& loss) {
     entry.m_run.findTask(key)->m_losses.discardUnresolved(loss.m_worker);
@@ -206,7 +209,7 @@
 
 /**
  * Resolves the unresolved losses of the previous incarnations of a host's worker. The notice of
- * another incarnation contains all that will ever be known about them.
+ * another incarnation contains all that will ever be known about these losses.
  */
 void JobController::resolveLosses(const std::string& host, const WorkerNotice& notice) {
     if (m_hostsWithUnresolvedLosses.count(host) == 0) {
--- a/libs/control/src/JobControllerOrders.cpp
+++ b/libs/control/src/JobControllerOrders.cpp
@@ -123,7 +123,7 @@
     }
 }
 
-/** Returns whether the host is avoided for its failure score. */
+/** Returns whether the host is avoided because of its failure score. */
 bool JobController::isAvoided(const std::string& host) const {
     return m_settings.m_scoresHosts && m_health.isAvoided(host, m_loop.now());
 }
--- a/libs/control/src/JobControllerReports.cpp
+++ b/libs/control/src/JobControllerReports.cpp
@@ -24,9 +24,9 @@
         if (notice.m_hasExited) {
             releaseLostRuns(host, "", LossCause::WORKER_LEFT);
         } else if (poolHost->m_hasReport && getReportedIncarnation(host) == notice.m_incarnation) {
-            // Not before the new incarnation has reported its runs: it may have carried out an
-            // order to the previous incarnation, and a run that is placed again would then run
-            // twice.
+            // The lost runs are not released before the new incarnation has reported its runs: that
+            // incarnation may have carried out an order to the previous incarnation, and a run that
+            // is placed again would then run twice.
             releaseLostRuns(host, notice.m_incarnation, LossCause::OTHER_INCARNATION);
         }
         resolveLosses(host, notice);
@@ -61,7 +61,7 @@
     if (isOtherIncarnation) {
         handleWorkerChanged(host);
     }
-    // Mere progress needs no new plan: the next regular plan considers it.
+    // A report with progress only needs no new plan: the next regular plan considers it.
     if (hasNewEnds) {
         m_capacityRefusals.forget(host);
         invalidatePlan();
@@ -69,7 +69,7 @@
 }
 
 /**
- * Stops the reported runs that belong to no active run of a job. Whatever their origin, they
+ * Stops the reported runs that belong to no active run of a job. Whatever their origin, such runs
  * occupy capacity, and their task may run twice.
  */
 void JobController::stopOrphanedRuns(const WorkerId& worker, const RunReport& report) {
@@ -97,9 +97,9 @@
 }
 
 /**
- * Returns the active run with this number if it occupies this worker. A run that is recorded for a
- * previous incarnation of the worker was started by the present one, on a late call. It is the same
- * run, and is rebound to the present incarnation.
+ * Returns the active run with this number if it occupies this worker. If the run is recorded for a
+ * previous incarnation of the worker, the present incarnation started that same run on a late call,
+ * and the run is rebound to the present incarnation.
  */
 std::optional<ActiveRun> JobController::findOrRebindRun(JobEntry& entry, const TaskKey& key,
                                                         std::uint32_t run, const WorkerId& worker) {
@@ -169,8 +169,8 @@
 
 /**
  * Returns whether a task has stalled or failed on several hosts; its record does not distinguish
- * the two. Such a task takes longer than declared or is itself faulty, so a stall of it is no
- * evidence against its host and does not move it to yet another host.
+ * stalls from failures. Such a task takes longer than declared or is itself faulty, so a stall of
+ * it is no evidence against its host and does not move it to yet another host.
  */
 bool JobController::hasFailedOnSeveralHosts(const JobEntry& entry, const TaskKey& task) {
     constexpr std::size_t SEVERAL = 2;
@@ -262,7 +262,10 @@
     }
 }
 
-/** Releases a run that its worker neither runs nor will start, for the reason that it reports. */
+/**
+ * Releases a run that its worker does not execute and will not start; the message states the
+ * reason.
+ */
 void JobController::handleRunAbsent(const std::string& host, const RunAbsent& absent) {
     const auto key = TaskKey::parse(absent.m_task);
     const auto found = key.has_value() ? m_jobs.find(key->m_job) : m_jobs.end();
@@ -272,7 +275,7 @@
     JobEntry& entry = found->second;
     const auto activeRun = entry.m_run.findActiveRun(*key, absent.m_run);
     const WorkerPool::Host* const poolHost = m_workers.findHost(host);
-    // Until the worker has sent a report, another incarnation of it may have the run.
+    // Until the worker has sent a report, another incarnation of the worker may execute the run.
     const bool isReported = poolHost != nullptr && poolHost->m_hasReport;
     if (!isReported || !activeRun.has_value() ||
         activeRun->m_worker != WorkerId{host, absent.m_incarnation}) {
@@ -358,7 +361,7 @@
                                       const RunReport& report) {
     const std::string name = run.m_task.toText();
     if (!entry.m_hasInput || entry.hasPendingMessage(name, run.m_run)) {
-        // Sent after the commit.
+        // The pending order or stop is sent after the commit.
         return;
     }
     if (run.m_isStopping) {
--- a/libs/control/src/JobControllerStore.cpp
+++ b/libs/control/src/JobControllerStore.cpp
@@ -73,9 +73,9 @@
 
 /**
  * Restores the failure scores of hosts where runs stalled, for a new leader. The only source is the
- * records of unfinished jobs: a host that is listed for a task without a failure is one where the
- * task stalled. Hosts where tasks failed are not restored: most such failures are the tasks' own,
- * and counting them makes schedules slightly worse on a small fleet.
+ * records of unfinished jobs: a host that is listed for a task without a failure is a host on which
+ * the task stalled. Hosts where tasks failed are not restored: most such failures are the tasks'
+ * own, and counting them makes schedules slightly worse on a small fleet.
  */
 void JobController::restoreStalledHosts() {
     for (const auto& [id, entry] : m_jobs) {
@@ -224,7 +224,7 @@
 
 /**
  * Loads the committed run of a job. A run without a record belongs to a finished job whose input
- * has been removed; an unfinished one is reported as an error.
+ * has been removed; an unfinished run without a record is reported as an error.
  */
 void JobController::addRun(const StoreItem& item) {
     const std::string id = item.m_key.substr(RUN_PREFIX.size());
@@ -257,7 +257,7 @@
     if (found != m_jobs.end()) {
         found->second.m_isCancelRequested = true;
     } else {
-        // A list returns cancels before the jobs that they belong to.
+        // A list from the store returns a cancel before the job to which it belongs.
         m_earlyCancels.insert(id);
     }
 }
--- a/libs/control/src/JobControllerView.cpp
+++ b/libs/control/src/JobControllerView.cpp
@@ -45,13 +45,13 @@
 void JobController::updateSnapshot(WorkerSnapshot& snapshot, const WorkerPool::Host& host) const {
     const WorkerNotice& notice = *host.m_notice;
     const std::string& address = snapshot.m_id.m_host;
-    const bool isEvacuatedByStatement =
+    const bool mustLeave =
             isLeaving(notice.m_incarnation) || getAdminState(address) == WorkerAdminState::DRAIN;
     snapshot.m_leavesIn.reset();
     if (notice.m_isDraining) {
         const Millis passed = m_loop.now() - host.m_noticeAt;
         snapshot.m_leavesIn = std::max(Millis(notice.m_remainingMs) - passed, Millis(0));
-    } else if (isEvacuatedByStatement) {
+    } else if (mustLeave) {
         snapshot.m_leavesIn = Millis(0);
     }
     snapshot.m_isEvacuated = isEvacuated(snapshot.m_failureDomain);
@@ -68,7 +68,10 @@
     snapshot.m_isSuspect = m_settings.m_scoresHosts && m_health.isSuspect(address, m_loop.now());
 }
 
-/** A notice states the remaining time, which counts from the receipt of the notice. */
+/**
+ * The notice of a worker states the remaining warm-up time, which counts from the receipt of the
+ * notice.
+ */
 std::optional<Millis> JobController::getColdUntil(const std::string& host) const {
     const WorkerPool::Host* const poolHost = m_workers.findHost(host);
     if (poolHost == nullptr || !poolHost->m_notice.has_value() ||
@@ -153,9 +156,9 @@
 }  // namespace
 
 /**
- * False while a new leader opens its initial links, for a limited time. It links the workers with
- * active runs first, and would preempt their runs for urgent work although workers that are not
- * linked yet are idle.
+ * Returns false while a new leader opens its initial links, for a limited time. The leader links
+ * the workers with active runs first, and would otherwise preempt their runs for urgent work
+ * although workers that are not linked yet are idle.
  */
 bool JobController::mayPreempt() const {
     return !m_workers.isOpeningInitialLinks() ||
--- a/libs/control/src/JobCore.cpp
+++ b/libs/control/src/JobCore.cpp
@@ -39,7 +39,8 @@
     m_lock.setElectionDelayProvider([this] { return m_candidacy.drawElectionDelay(); });
     m_lock.setLeaderProbe([this] { return m_leaderLink.isUsable(); });
     m_lock.onReadFailed([this] {
-        // While the store is known to be lost, the feed polls for its return anyway.
+        // While the store is known to be lost, the feed polls anyway until the store is reachable
+        // again.
         if (!m_configuration.isStoreLost()) {
             m_configuration.confirm([](bool) {});
         }
@@ -54,7 +55,9 @@
     });
 }
 
-/** Connects the link to the leader and, for when this gateway leads, the job controller. */
+/**
+ * Connects the link to the leader, and the job controller that is used while this gateway leads.
+ */
 void JobCore::connectLeader() {
     // Reveals to a leader that can't reach the store that another gateway has superseded it.
     m_leaderLink.onLeader([this](std::uint64_t epoch) {
--- a/libs/control/src/ProgressTracker.cpp
+++ b/libs/control/src/ProgressTracker.cpp
@@ -26,7 +26,7 @@
     return std::max(MIN_STALL_TIMEOUT, Millis(static_cast<std::int64_t>(estimateShare)));
 }
 
-/** A complete run is not stalled: the member of a gang waits at its end for the other members. */
+/** A complete run is not stalled: a complete run of a gang member waits for the other members. */
 bool ProgressTracker::Track::isStalled() const {
     return m_percent < COMPLETE_PERCENT && !m_mayWait && getStalledTime() >= getStallTimeout();
 }
--- a/libs/control/src/WaveController.cpp
+++ b/libs/control/src/WaveController.cpp
@@ -268,7 +268,7 @@
     if (machineProgress.m_drainingSince == Millis(0)) {
         machineProgress.m_drainingSince = m_loop.now();
     }
-    // A worker whose upkeep was refused keeps getting work: the platform may never permit it.
+    // A worker whose upkeep was refused continues to get work: the platform may never permit it.
     const bool wasRefused = machineProgress.m_retryDelay > Millis(0);
     if (!machine.m_workerId.empty() && !wasRefused) {
         m_leavingWorkers.insert(machine.m_workerId);
--- a/libs/control/src/WorkerHealth.cpp
+++ b/libs/control/src/WorkerHealth.cpp
@@ -70,8 +70,10 @@
     host.m_stalledAt.reset();
 }
 
-/** Ignores runs that started before the last failure, since they say nothing about the host's state
- * after the failure. */
+/**
+ * Ignores runs that started before the last failure, since they are no evidence of the host's state
+ * after the failure.
+ */
 void WorkerHealth::recordSuccess(Host& host, Millis startedAt, Millis now) {
     if (startedAt < host.m_failedAt) {
         return;
--- a/libs/job/include/pierbank/job/JobRun.h
+++ b/libs/job/include/pierbank/job/JobRun.h
@@ -225,7 +225,7 @@
 
 /**
  * Returns the hosts on which tasks stalled, as views into `run`. Steps with a failed task are left
- * out, since the record does not tell hosts of stalled runs from hosts of failed runs.
+ * out, since the record does not distinguish hosts of stalled runs from hosts of failed runs.
  */
 std::vector<std::string_view> listStalledHosts(const JobRun& run);
 
--- a/libs/job/include/pierbank/job/RunLosses.h
+++ b/libs/job/include/pierbank/job/RunLosses.h
@@ -74,10 +74,10 @@
  * late, and to another leader.
  *
  * The platform's contract allows two more starts after the third crash of a task that crashes every
- * worker, so a task is given up after five losses each of which may be a crash. Three are enough if
- * the task crashed its workers right at the start and was the sole suspect at least once. Two are
- * not enough: workers that crash for other reasons coincide with two starts of the same task often
- * enough that jobs without a fault were given up.
+ * worker, so the job of a task fails after five losses each of which may be a crash. Three are
+ * enough if the task crashed its workers right at the start and was the sole suspect at least once.
+ * Two are not enough: workers that crash for other reasons coincide with two starts of the same
+ * task often enough that jobs without a fault were failed.
  */
 class RunLosses {
 public:
@@ -85,7 +85,7 @@
     bool record(const RunLoss& loss);
     /**
      * Removes an unresolved loss, because the incarnation turned out to be alive or never started
-     * the run. @return whether there was one.
+     * the run. @return whether there was such a loss.
      */
     bool discardUnresolved(const WorkerId& worker);
     /** Returns whether a run of this age refutes the suspicion: the task has run so long that it
@@ -98,8 +98,10 @@
     bool isEmpty() const noexcept { return m_list.empty(); }
     /** Returns whether the task may crash its next worker, so that it should run there alone. */
     bool isSuspect() const;
-    /** Returns whether several workers crashed while they ran the task; one more crash may be
-     * enough to give it up. */
+    /**
+     * Returns whether several workers crashed while they ran the task; one more crash may be enough
+     * to fail the job.
+     */
     bool hasRepeatedCrashes() const;
     /** Returns whether a worker on this host crashed with the task. A run on another host yields
      * more evidence and may succeed. */
--- a/libs/job/include/pierbank/job/TaskPlanner.h
+++ b/libs/job/include/pierbank/job/TaskPlanner.h
@@ -61,9 +61,9 @@
     /** Run time factor of tasks outside the rack of their data, and of gangs on several racks. */
     double m_remoteFactor = 3.0;
     /**
-     * Work is hopeless, and goes last within its priority, when it will miss its objective by more
-     * than this multiple of the span from its due time to its objective. The platform's contract
-     * gives no credit for work that is so late.
+     * Work is hopeless, and is placed last within its priority, when it will miss its objective by
+     * more than this multiple of the span from its due time to its objective. The platform's
+     * contract gives no credit for work that is so late.
      */
     std::int64_t m_hopelessFactor = 2;
     /**
@@ -103,17 +103,18 @@
     double m_maxHeadroomShare = 0.25;
     /**
      * While the utilization of a service's workers is below `m_lowUtilization` for some resource,
-     * the headroom also serves units that have waited this long and whose job has no active run.
-     * The platform's contract does not allow a job to be without a run for 3 s while capacity is
-     * idle.
+     * the headroom may also be used by units that have waited this long and whose job has no active
+     * run. The platform's contract does not allow a job to be without a run for 3 s while capacity
+     * is idle.
      */
     Millis m_headroomReleaseWait{1800};
     double m_lowUtilization = 0.55;
     /**
      * Weight of a worker's slowness against free capacity in the choice of a worker: a worker that
-     * takes twice the declared time is rated like one with this many more accelerators left free.
-     * Urgent work prefers fast workers to well-packed ones. Other work has a negative weight, which
-     * leaves the fast workers to urgent work. Both together raise the value of the completed work.
+     * takes twice the declared time is rated like a worker with this many more accelerators left
+     * free. Urgent work prefers fast workers to well-packed ones. Other work has a negative weight,
+     * which leaves the fast workers to urgent work. Both together raise the value of the completed
+     * work.
      */
     double m_urgentSpeedWeight = 20.0;
     double m_nonUrgentSpeedWeight = -8.0;
@@ -179,7 +180,7 @@
     Cause m_cause = Cause::WORKERS;
     /** Whether the guarantee of the job's organisation covers the job. */
     bool m_isGuaranteed = false;
-    /** Core-seconds of work that preemption throws away, or would have to. */
+    /** Core-seconds of work that is lost by preemption, or would be lost by it. */
     double m_wastedWork = 0;
 };
 
@@ -249,11 +250,11 @@
  *
  * Units of work (a gang, or a single task) are placed in this order: priority 0 within the
  * guarantee of its organisation, other work of priority 0, then the other priorities. Within one
- * priority, units that can still meet their objective go first, the nearest objective before the
- * others. Units of priority 0 preempt the runs that are the cheapest to stop; guaranteed units may
- * also preempt runs of priority 0 that no guarantee covers. Workers are reserved for starved units,
- * which go right after urgent work. Finally, slow tasks get copies, and tasks migrate from leaving
- * workers.
+ * priority, units that can still meet their objective are placed first, in the order of their
+ * objectives. Units of priority 0 preempt the runs that are the cheapest to stop; guaranteed units
+ * may also preempt runs of priority 0 that no guarantee covers. Workers are reserved for starved
+ * units, which are placed right after urgent work. Finally, slow tasks get copies, and tasks
+ * migrate from leaving workers.
  *
  * Reservations with backfill follow the EASY scheduler (Lifka, 1995).
  */
--- a/libs/job/src/FoundRuns.cpp
+++ b/libs/job/src/FoundRuns.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Corrections of the record for runs that workers report elsewhere than recorded.
+// Corrections of the record for runs that are not reported by the incarnation for which they are
+// recorded.
 #include "pierbank/job/JobRun.h"
 
 namespace pierbank {
--- a/libs/job/src/JobCodec.cpp
+++ b/libs/job/src/JobCodec.cpp
@@ -75,7 +75,10 @@
     archive(value.m_index, value.m_run, value.m_worker, value.m_placedAt, value.m_isStopping);
 }
 
-/** Fields that are empty for most tasks of a step; stored only for the tasks that have any. */
+/**
+ * Fields that are empty for most tasks of a step; stored only for the tasks that have any such
+ * field.
+ */
 struct RareTaskFields {
     std::uint32_t m_index = 0;
     std::string m_checkpoint;
--- a/libs/job/src/JobTransitions.cpp
+++ b/libs/job/src/JobTransitions.cpp
@@ -108,8 +108,9 @@
         }
     } else {
         markDone(step, key.m_index);
-        toStop = listPlacedRuns(
-                step, key, [&](const ActiveRun& h) { return h.m_task.m_index == key.m_index; });
+        toStop = listPlacedRuns(step, key, [&](const ActiveRun& candidate) {
+            return candidate.m_task.m_index == key.m_index;
+        });
         markAllStopping(run, toStop);
     }
     finishIfDone(record, run, wallNow);
@@ -298,7 +299,7 @@
     const bool isDoneAlready = step.m_tasks[key.m_index].m_state == TaskState::DONE;
     releaseRun(step, key.m_index, number);
     if (isDoneAlready) {
-        // The task was done already; this was a copy or a run that was being stopped.
+        // The task was done already; the run that ended was a copy or was being stopped.
         finishIfDone(record, run, wallNow);
         return effect;
     }
@@ -313,8 +314,9 @@
         return effect;
     }
     if (spec.m_isGang) {
-        effect.m_toStop = listPlacedRuns(
-                step, key, [number](const ActiveRun& h) { return h.m_run == number; });
+        effect.m_toStop = listPlacedRuns(step, key, [number](const ActiveRun& candidate) {
+            return candidate.m_run == number;
+        });
         markAllStopping(run, effect.m_toStop);
     }
     return effect;
--- a/libs/job/src/PlanningPass.cpp
+++ b/libs/job/src/PlanningPass.cpp
@@ -207,7 +207,10 @@
     occupant.m_preemptionCost = getCoreEquivalent(spec.m_need) * (lost + RESTART_MS);
 }
 
-/** Computes the free capacity; m_overcommitted contains the demand of all active runs before. */
+/**
+ * Computes the free capacity. Before the call, m_overcommitted contains the demand of all active
+ * runs; after the call, only the demand beyond the capacity of the worker.
+ */
 void PlanningPass::computeFreeCapacity() {
     for (WorkerState& state : m_workerStates) {
         const Resources used = state.m_overcommitted;
@@ -244,7 +247,7 @@
     }
 }
 
-/** Sorts the occupants of each worker: non-urgent ones first, then by ascending cost. */
+/** Sorts the occupants of each worker: non-urgent occupants first, then by ascending cost. */
 void PlanningPass::sortOccupants() {
     m_occupantsOn.resize(m_workerStates.size());
     for (std::size_t i = 0; i < m_occupants.size(); ++i) {
@@ -283,8 +286,8 @@
 // Placement of waiting units.
 
 void PlanningPass::placeStep(const WaitingStep& step) {
-    // Excluded hosts depend on the tasks that run already, so that they are determined for all
-    // units before the first one is placed.
+    // Excluded hosts depend on the tasks that run already, so the hosts are determined for all
+    // units before the first unit is placed.
     std::vector<WorkUnit> units;
     const std::span<const std::uint32_t> indexes(step.m_taskIndexes);
     const std::size_t size = step.m_spec->m_isGang ? indexes.size() : 1;
@@ -312,12 +315,12 @@
         }
         return;
     }
-    const auto known = m_failedPlacements.find(getUnitClass(unit));
-    if (known != m_failedPlacements.end() &&
-        unit.m_taskIndexes.size() >= known->second.m_memberCount) {
-        if (unit.m_taskIndexes.size() == known->second.m_memberCount) {
-            addExplanation(unit, known->second.m_explanation.m_kind,
-                           known->second.m_explanation.m_text);
+    const auto smallestFailed = m_failedPlacements.find(getUnitClass(unit));
+    if (smallestFailed != m_failedPlacements.end() &&
+        unit.m_taskIndexes.size() >= smallestFailed->second.m_memberCount) {
+        if (unit.m_taskIndexes.size() == smallestFailed->second.m_memberCount) {
+            addExplanation(unit, smallestFailed->second.m_explanation.m_kind,
+                           smallestFailed->second.m_explanation.m_text);
         } else {
             // The explanation is not reused: a larger unit may be too large for any worker.
             addWaitExplanation(unit);
--- a/libs/job/src/PlanningPass.h
+++ b/libs/job/src/PlanningPass.h
@@ -20,7 +20,10 @@
 /** Index of a worker in PlanInput::m_workers and PlanningPass::m_workerStates. */
 using WorkerSlot = std::size_t;
 
-/** Number of a topology domain (host, rack or failure domain) among those of its level, by name. */
+/**
+ * Number of a topology domain (host, rack or failure domain): its position among the domains of the
+ * same level, in the order of their names.
+ */
 using DomainId = std::int32_t;
 /** Stands for the whole region: any worker may be used. */
 constexpr DomainId ANY_DOMAIN = -1;
@@ -152,7 +155,9 @@
         bool m_isPreempted = false;
         /** Whether the capacity is already allocated to a unit that waits for the run to end. */
         bool m_isAwaited = false;
-        /** Core-milliseconds of work that a stop throws away; for gangs, of all members. */
+        /**
+         * Core-milliseconds of work that is lost if the run is stopped; for gangs, of all members.
+         */
         double m_preemptionCost = 0;
     };
     /** Range of the occupants of one step of one occurrence in m_occupants, end exclusive. */
@@ -176,11 +181,12 @@
         double m_preemptionCost = 0;
         /** m_preemptionCost and the cost of slow workers; the cheapest preemption is chosen. */
         double m_cost = 0;
-        /** Capacity taken by the members that have been assigned so far. */
+        /** Capacity allocated to the members that have been assigned so far. */
         std::map<WorkerSlot, Resources> m_allocated;
         /**
          * Cached results of chooseVictims() for one more member, by slot. The outer optional is
-         * empty before the computation, the inner one if the worker cannot take the member.
+         * empty before the computation, the inner optional is empty if the worker cannot run the
+         * member.
          */
         std::vector<std::optional<std::optional<Victims>>> m_victimsBySlot;
         /** Tasks of the step by slot, including the members that have been assigned so far. */
@@ -189,7 +195,7 @@
     /** Properties on which the placement of a unit depends, apart from the number of members. */
     using UnitClass = std::tuple<const EligibleWorkers*, std::uint32_t, std::uint32_t,
                                  std::uint32_t, bool, bool, DomainId, int, bool, bool, Millis>;
-    /** Smallest unit of its class that could not be placed; larger ones are not tried. */
+    /** Smallest unit of its class that could not be placed; larger units are not tried. */
     struct FailedPlacement {
         std::size_t m_memberCount = 0;
         PlanExplanation m_explanation;
--- a/libs/job/src/PlanningPassCapacity.cpp
+++ b/libs/job/src/PlanningPassCapacity.cpp
@@ -43,8 +43,8 @@
 }
 
 /**
- * Whether neither the headroom nor a reservation excludes the unit from a worker. A reserved worker
- * takes only work that ends before the reservation starts.
+ * Whether neither the headroom nor a reservation excludes the unit from a worker. Only work that
+ * ends before the reservation starts may be placed on a reserved worker.
  */
 bool PlanningPass::isUnreservedFor(const WorkUnit& unit, WorkerSlot slot) const {
     const WorkerState& state = m_workerStates[slot];
@@ -202,8 +202,8 @@
 /**
  * Spreads the tasks whose workers crashed repeatedly over the hosts, in a pseudo-random way. In a
  * rolling restart, workers may restart in the order in which hosts are tried here. A lost task
- * would then be placed on the next worker to restart each time, and would be taken for the cause of
- * the crashes. After a single crash the penalty is zero, since a suitable host matters more.
+ * would then be placed on the next worker to restart each time, and would be considered the cause
+ * of the crashes. After a single crash the penalty is zero, since a suitable host matters more.
  */
 double PlanningPass::getSpreadPenalty(const WorkUnit& unit, std::uint32_t index,
                                       std::string_view host) {
@@ -222,9 +222,9 @@
 
 /**
  * Returns the penalty for placing a task on a worker; the worker with the lowest penalty is chosen.
- * Hosts on which the task failed are the last choice, before them workers with suspect runs, and
- * before these the headroom. Suspect tasks prefer workers with few runs. Among the other workers,
- * speed is weighed against the accelerators that stay free.
+ * Hosts on which the task failed are the last choice, workers with suspect runs the second last,
+ * and the headroom the third last. Suspect tasks prefer workers with few runs. Among the other
+ * workers, speed is weighed against the accelerators that stay free.
  */
 double PlanningPass::getPenalty(const WorkUnit& unit, std::uint32_t index, WorkerSlot slot,
                                 const Resources& capacity) const {
--- a/libs/job/src/PlanningPassExplanations.cpp
+++ b/libs/job/src/PlanningPassExplanations.cpp
@@ -29,7 +29,10 @@
     return canEverHold(unit, true);
 }
 
-/** The same; without `withEvacuated`, only workers outside evacuated failure domains count. */
+/**
+ * Like the overload above; without `withEvacuated`, only workers outside evacuated failure domains
+ * count.
+ */
 bool PlanningPass::canEverHold(const WorkUnit& unit, bool withEvacuated) const {
     const StepSpec& spec = unit.getSpec();
     const std::uint64_t limit =
@@ -37,11 +40,11 @@
     std::map<DomainId, std::uint64_t> membersByDomain;
     for (WorkerSlot slot = 0; slot < m_workerStates.size(); ++slot) {
         const WorkerSnapshot& worker = *m_workerStates[slot].m_snapshot;
-        const bool mayHold =
+        const bool isSuitable =
                 worker.m_service == unit.getRecord().m_policy.m_service &&
                 (withEvacuated || !worker.m_isEvacuated) &&
                 (spec.m_requiredLabel.empty() || worker.m_labels.count(spec.m_requiredLabel) != 0);
-        Resources capacity = mayHold ? getFullCapacity(worker) : Resources();
+        Resources capacity = isSuitable ? getFullCapacity(worker) : Resources();
         std::uint64_t members = 0;
         while (members < limit && members < unit.m_taskIndexes.size() &&
                spec.getCapacityDemand().fitsInto(capacity)) {
@@ -91,8 +94,8 @@
     std::size_t ofService = 0;
     std::size_t labelled = 0;
     std::size_t allowed = 0;
-    std::size_t holding = 0;
-    std::size_t holdingNow = 0;
+    std::size_t capable = 0;
+    std::size_t capableNow = 0;
     std::uint64_t free = 0;
     std::uint32_t maxFree = 0;
     for (WorkerSlot slot = 0; slot < m_workerStates.size(); ++slot) {
@@ -100,12 +103,12 @@
         const bool isOfService = worker.m_service == service;
         const bool hasLabel =
                 spec.m_requiredLabel.empty() || worker.m_labels.count(spec.m_requiredLabel) != 0;
-        const bool holds = spec.getCapacityDemand().fitsInto(getFullCapacity(worker));
-        const bool holdsNow = spec.getCapacityDemand().fitsInto(worker.m_capacity);
+        const bool isCapable = spec.getCapacityDemand().fitsInto(getFullCapacity(worker));
+        const bool isCapableNow = spec.getCapacityDemand().fitsInto(worker.m_capacity);
         ofService += isOfService ? 1 : 0;
         labelled += isOfService && hasLabel ? 1 : 0;
-        holding += isOfService && hasLabel && holds ? 1 : 0;
-        holdingNow += isOfService && hasLabel && holdsNow ? 1 : 0;
+        capable += isOfService && hasLabel && isCapable ? 1 : 0;
+        capableNow += isOfService && hasLabel && isCapableNow ? 1 : 0;
         if (isAllowed(unit, slot)) {
             ++allowed;
             free += m_workerStates[slot].m_free.m_accelerators;
@@ -118,7 +121,7 @@
     if (labelled == 0) {
         return "waits: no worker has the label " + spec.m_requiredLabel + "; add one that has it";
     }
-    if (holding == 0) {
+    if (capable == 0) {
         return "can't run: no worker that it may use has room for " + describeDemand(unit) +
                " even when idle; ask for less a task, or add larger workers";
     }
@@ -131,8 +134,8 @@
                ") the workers that are left can't hold " + describeDemand(unit) +
                "; it begins when an evacuation is withdrawn";
     }
-    if (holdingNow == 0) {
-        return "waits: the rooms of the " + std::to_string(holding) + " workers that could hold " +
+    if (capableNow == 0) {
+        return "waits: the rooms of the " + std::to_string(capable) + " workers that could hold " +
                describeDemand(unit) + " have shrunk; they may grow again";
     }
     if (unit.m_waitingStep->m_needsAdvice && allowed == 0) {
--- a/libs/job/src/PlanningPassHosts.cpp
+++ b/libs/job/src/PlanningPassHosts.cpp
@@ -40,8 +40,9 @@
 }
 
 /**
- * Urgent and starved units may use the headroom. Other units may after `m_headroomReleaseWait`, if
- * their job has no active run and the workers of the service are underutilized.
+ * Urgent and starved units may use the headroom. Other units may use it after
+ * `m_headroomReleaseWait`, if their job has no active run and the workers of the service are
+ * underutilized.
  */
 bool PlanningPass::mayUseHeadroom(const WorkUnit& unit) const {
     if (unit.isUrgent() || isStarved(unit)) {
@@ -61,7 +62,7 @@
 }
 
 /**
- * Sets aside the workers with the least non-urgent work, preferring fast ones. Workers that were
+ * Sets aside the workers with the least non-urgent work, preferring fast workers. Workers that were
  * set aside in the previous pass have little such work, so that the choice is stable.
  */
 void PlanningPass::setAsideHeadroom(const std::string& service, std::uint32_t accelerators) {
@@ -122,9 +123,9 @@
 
 /**
  * Keeps suspect tasks apart from each other, so that another crash has a single possible cause.
- * Urgent units and gangs avoid suspect tasks as well, since they are costly to lose. A unit that
- * would not fit on the remaining workers avoids none. getPenalty() also keeps suspect tasks away
- * from other runs, so that another crash ends as few of them as possible.
+ * Urgent units and gangs avoid suspect tasks as well, since such units are costly to lose. A unit
+ * that would not fit on the remaining workers avoids none. getPenalty() also keeps suspect tasks
+ * away from other runs, so that another crash ends as few of them as possible.
  */
 void PlanningPass::avoidSuspectRuns(WorkUnit& unit) {
     const auto& tasks = unit.getStep().m_tasks;
--- a/libs/job/src/PlanningPassOrder.cpp
+++ b/libs/job/src/PlanningPassOrder.cpp
@@ -120,8 +120,9 @@
 
 /**
  * Returns the band of a step; lower bands are placed first. Bands are ordered by priority. Within a
- * priority, guaranteed steps go first, then those that can still meet their objective, then late
- * ones. Steps that are so late that their result has no value any more go last, urgent ones too.
+ * priority, guaranteed steps come first, then steps that can still meet their objective, then late
+ * steps. Steps that are so late that their result has no value any more come last, also if they are
+ * urgent.
  */
 std::uint32_t PlanningPass::chooseBand(const WaitingStep& step,
                                        const OccurrenceRun& occurrence) const {
@@ -153,7 +154,10 @@
     return step.m_objective - Millis(static_cast<std::int64_t>(advance));
 }
 
-/** Includes the estimate only if there are reservations, which admit only work that ends before. */
+/**
+ * Includes the estimate only if there are reservations, since only work that ends before a
+ * reservation starts may be placed on the reserved workers.
+ */
 PlanningPass::UnitClass PlanningPass::getUnitClass(const WorkUnit& unit) {
     const StepSpec& spec = unit.getSpec();
     const Resources need = spec.getCapacityDemand();
--- a/libs/job/src/PlanningPassPreemption.cpp
+++ b/libs/job/src/PlanningPassPreemption.cpp
@@ -206,15 +206,15 @@
 /** Returns the victims for one more member on a worker, cached until a member is added there. */
 const std::optional<PlanningPass::Victims>& PlanningPass::findVictims(
         const WorkUnit& unit, WorkerSlot slot, Preemption& preemption) const {
-    auto& known = preemption.m_victimsBySlot[slot];
-    if (!known.has_value()) {
+    auto& cached = preemption.m_victimsBySlot[slot];
+    if (!cached.has_value()) {
         const auto allocated = preemption.m_allocated.find(slot);
         Resources need =
                 allocated == preemption.m_allocated.end() ? Resources() : allocated->second;
         need += unit.getSpec().getCapacityDemand();
-        known = chooseVictims(unit, slot, need);
+        cached = chooseVictims(unit, slot, need);
     }
-    return *known;
+    return *cached;
 }
 
 /**
--- a/libs/job/src/PlanningPassReservations.cpp
+++ b/libs/job/src/PlanningPassReservations.cpp
@@ -152,9 +152,9 @@
 
 /**
  * Whether a run has to migrate. Runs that end before their worker leaves stay. Other runs migrate
- * at once if they save progress. If they do not, they migrate only after a short run time, which
- * loses little work, since the worker may stay for longer than announced. Lasting tasks migrate
- * within the limit of their step.
+ * at once if they save progress. Runs that do not save progress migrate only after a short run
+ * time, which loses little work, since the worker may stay for longer than announced. Lasting tasks
+ * migrate within the limit of their step.
  */
 bool PlanningPass::mustMigrate(const Occupant& occupant) const {
     const auto& leavesIn = m_workerStates[occupant.m_slot].m_snapshot->m_leavesIn;
--- a/libs/job/src/RunLosses.cpp
+++ b/libs/job/src/RunLosses.cpp
@@ -12,7 +12,7 @@
  * starts that the platform's contract allows afterwards. */
 constexpr unsigned PROOF_WEIGHT = 10;
 constexpr unsigned CRASH_WEIGHT = 2;
-/** Ten lost hosts reach the sum, so that a task that takes whole hosts down is given up too. */
+/** Ten lost hosts reach the sum, so that the job of a task that crashes whole hosts fails too. */
 constexpr unsigned HOST_LOSS_WEIGHT = 1;
 /** Maximum number of stored losses; the oldest is dropped. */
 constexpr std::size_t MAX_LOSSES = 10;
@@ -25,7 +25,10 @@
 /** A worker that is lost within this time of a start was crashed by that start; a sidecar detects
  * broken connections within milliseconds. */
 constexpr Millis MAX_QUICK_CRASH_TIME{150};
-/** Number of crashes right at the start that prove a fault, if one had a sole suspect. */
+/**
+ * Number of crashes right at the start that prove a fault, if at least one of them had a sole
+ * suspect.
+ */
 constexpr std::size_t QUICK_CRASHES = 3;
 /** A run that started within this time before the crash is a likelier cause than runs that had
  * lasted more than twice as long. */
@@ -34,9 +37,15 @@
 constexpr Millis MIN_RECENT_RUN_TIME{300};
 /** Number of crashes as a bystander that cannot be a coincidence any more. */
 constexpr std::size_t REPEATED_CRASHES = 2;
-/** The run of a suspect task is a risk for this time plus twice the longest run that crashed. */
+/**
+ * The run of a suspect task is a risk for this time plus twice the longest time that a run lasted
+ * before its worker crashed.
+ */
 constexpr Millis MIN_RISK_TIME{1000};
-/** A run refutes the suspicion after this time plus four times the longest run that crashed. */
+/**
+ * A run refutes the suspicion after this time plus four times the longest time that a run lasted
+ * before its worker crashed.
+ */
 constexpr Millis MIN_REFUTATION_TIME{60'000};
 
 constexpr std::array<std::string_view, 5> CATEGORY_NAMES = {"open", "host-lost", "beside",
@@ -86,14 +95,14 @@
 }
 
 bool RunLosses::record(const RunLoss& loss) {
-    const auto known = std::find_if(m_list.begin(), m_list.end(), [&](const RunLoss& one) {
-        return one.m_worker == loss.m_worker;
+    const auto existing = std::find_if(m_list.begin(), m_list.end(), [&](const RunLoss& other) {
+        return other.m_worker == loss.m_worker;
     });
-    if (known != m_list.end()) {
-        const bool isChanged =
-                known->m_category < loss.m_category && known->m_category <= LossCategory::HOST_LOST;
+    if (existing != m_list.end()) {
+        const bool isChanged = existing->m_category < loss.m_category &&
+                               existing->m_category <= LossCategory::HOST_LOST;
         if (isChanged) {
-            *known = loss;
+            *existing = loss;
         }
         return isChanged;
     }
@@ -209,7 +218,7 @@
  * Three crashes right at the start, at least one as the sole suspect and none later in a run, are
  * not a coincidence: workers that fail by themselves do so at any time of a run. If some crashes
  * came later, all five that the platform's contract allows are needed, since a long run is more
- * likely to meet faults of the workers themselves.
+ * likely to be hit by a fault of the worker itself.
  */
 bool RunLosses::provesTaskFault() const {
     std::size_t quick = 0;
--- a/libs/job/test/RunLossesTest.cpp
+++ b/libs/job/test/RunLossesTest.cpp
@@ -58,7 +58,7 @@
     RunLosses m_losses;
 };
 
-/** Two such crashes may be a coincidence, for which jobs without a fault were given up. */
+/** Two such crashes may be a coincidence, because of which jobs without a fault were failed. */
 TEST_F(RunLossesTest, ThreeCrashesAtStartWithSoleSuspectAreProof) {
     lose(LossCategory::SUSPECT, 10);
     lose(LossCategory::SOLE_SUSPECT, 12);
