--- a/libs/control/include/pierbank/control/ConfigurationFeed.h
+++ b/libs/control/include/pierbank/control/ConfigurationFeed.h
@@ -27,13 +27,13 @@
      */
     Millis m_maxQuickRefusal{100};
     /**
-     * Delay before an unresponsive store is read again. The read that is then under way detects the
-     * return of the store.
+     * Delay before the next read of an unresponsive store. These repeated reads detect the return
+     * of the store.
      */
     Millis m_probeDelay{50};
     /**
      * Maximum age of the configuration as confirmed by the leader. A gateway with a usable leader
-     * reads the store itself only beyond this age.
+     * reads the store itself only if the configuration is older than this.
      */
     Millis m_maxNoticeAge{2500};
     /** Bandwidth of this gateway's host, in megabits per second. */
@@ -73,7 +73,7 @@
  *
  * A watch delivers changes quickly, but a watch without events does not prove that nothing changed.
  * The age of the copy therefore counts from the time at which the last confirming read was sent.
- * The version never goes back.
+ * The version of the copy never decreases.
  *
  * A value that is slow to transfer over the gateway's link is not watched but confirmed at
  * intervals, since a watch would transfer the value in addition to the read.
@@ -130,8 +130,8 @@
 
     /**
      * Returns whether a newer configuration is known to exist but has not been read yet. The leader
-     * already decides relayed requests by the newer one, so this gateway must not decide others by
-     * its older copy at the same time.
+     * already decides relayed requests by the newer configuration, so this gateway must not decide
+     * other requests by its older copy at the same time.
      */
     bool isOutdated() const noexcept { return m_newestRevision > m_revision; }
 
@@ -143,7 +143,8 @@
 
     /**
      * Updates the copy's age from the source, or by a read if the source can't answer, and calls
-     * `done` once. Unlike after confirm(), the copy may be a little older than the call.
+     * `done` once. Unlike after confirm(), the copy may have been confirmed a little before the
+     * call.
      */
     void refresh(std::function<void()> done);
 
--- a/libs/control/include/pierbank/control/Documents.h
+++ b/libs/control/include/pierbank/control/Documents.h
@@ -26,7 +26,10 @@
     Millis m_remaining{0};
     /** Time until the worker is warmed up, after its start or after a period without work. */
     Millis m_warmUpRemaining{0};
-    /** Grows with each heartbeat of an incarnation; a heartbeat with a lower number is late. */
+    /**
+     * Grows with each heartbeat of an incarnation; a heartbeat with a lower number than a
+     * heartbeat received before was delayed.
+     */
     std::uint64_t m_sequence = 0;
 };
 
@@ -53,7 +56,11 @@
                                                                 Findings& findings) const = 0;
     /** Reads a submitted job. */
     virtual std::optional<JobSpec> readJob(std::string_view bytes, Findings& findings) const = 0;
-    /** Reads a heartbeat. @param id names the worker; the body contains its start time. */
+    /**
+     * Reads a heartbeat.
+     *
+     * @param id id of the worker; the body contains the start time of the worker.
+     */
     virtual std::optional<WorkerHeartbeat> readHeartbeat(std::string_view id,
                                                          std::string_view bytes,
                                                          Findings& findings) const = 0;
--- a/libs/control/include/pierbank/control/EvacuationFeed.h
+++ b/libs/control/include/pierbank/control/EvacuationFeed.h
@@ -16,8 +16,8 @@
 
 struct EvacuationFeedSettings {
     /**
-     * Time after the acknowledgement of an evacuation from which on nothing starts in the failure
-     * domain. Required by the platform's contract.
+     * Maximum time from the acknowledgement of an evacuation until nothing starts in the failure
+     * domain any more. Required by the platform's contract.
      */
     Millis m_maxEnforcementDelay{5000};
     /** Time between two polls. The polls make up 2 to 3 percent of all calls of the store. */
@@ -26,8 +26,8 @@
 
 /**
  * Polls the failure domains under evacuation, which the platform's operators keep in the store: one
- * key for each domain, from the request of the evacuation until it is withdrawn. A key counts
- * whatever its value is. Runs on the event loop.
+ * key for each domain, from the request of the evacuation until the request is withdrawn. The value
+ * of a key is ignored. Runs on the event loop.
  *
  * The feed polls the whole list instead of watching it. A watch may deliver nothing for a second,
  * hang, or lose its history, and a watch without events looks like an empty list. A poll either
@@ -48,15 +48,15 @@
     /** Sets the callback for a changed list, and for isUpToDate() becoming true again. */
     void onChange(std::function<void()> callback) { m_onChange = std::move(callback); }
 
-    /** Starts polling; the list is empty and not certain until the first poll succeeds. */
+    /** Starts polling; the list is empty and not up to date until the first poll succeeds. */
     void start();
     /** Stops polling and clears the list. */
     void stop();
 
     /**
-     * Returns whether the list is recent enough to place work by. The list may be as old as three
-     * fifths of m_maxEnforcementDelay. The rest is left for a decision under way: its commit, and
-     * the order to the worker.
+     * Returns whether the list is recent enough for placing work. The list may be as old as three
+     * fifths of m_maxEnforcementDelay. The remaining time is reserved for a decision under way,
+     * that is, for its commit and for the order to the worker.
      */
     bool isUpToDate() const;
     /** Returns the result of the last successful poll. */
--- a/libs/control/include/pierbank/control/JobIntake.h
+++ b/libs/control/include/pierbank/control/JobIntake.h
@@ -61,8 +61,8 @@
     /**
      * Time without an answer from the store after which a submission is also relayed to the leader.
      * A gateway that has just lost its connection to the store can't detect this and would
-     * otherwise delay the submission by m_commitTimeout (1.5 s) or more. Longer than the answers of
-     * a slow store, which take 0.24 to 0.33 s.
+     * otherwise delay the submission by m_commitTimeout (1.5 s) or more. The delay is longer than
+     * the answers of a slow store, which take 0.24 to 0.33 s.
      */
     Millis m_hedgeDelay{400};
     /** Whether slow submissions are also relayed to the leader after m_hedgeDelay. */
@@ -165,7 +165,11 @@
     void answer(const CallPtr& call, std::uint32_t status, std::string body,
                 std::string_view reason);
     void answerUnavailable(const CallPtr& call, std::string_view reason);
-    /** Relays a request to the leader, or answers with `status` if the leader can't help. */
+    /**
+     * Relays a request to the leader if possible, and otherwise answers with `status`. The answer
+     * is also `status` if the leader does not answer, except for a submission, whose outcome is
+     * then unknown.
+     */
     void relayOr(const CallPtr& call, std::uint32_t status, std::string_view reason);
     bool mayRelay(const Call& call) const;
     void relayToLeader(const CallPtr& call);
--- a/libs/control/include/pierbank/control/LeaderLink.h
+++ b/libs/control/include/pierbank/control/LeaderLink.h
@@ -44,7 +44,10 @@
     /** Accepts a connection from a leader; the leader is obeyed if its epoch is the highest. */
     void handleLink(std::shared_ptr<Link> link) { m_port.handleLink(std::move(link)); }
 
-    /** Sets the callback for a leader that has become unresponsive; called once for each time. */
+    /**
+     * Sets the callback for a leader that has become unresponsive; called once each time this
+     * happens.
+     */
     void onLeaderTimeout(std::function<void()> callback) {
         m_onLeaderTimeout = std::move(callback);
     }
--- a/libs/control/include/pierbank/control/LeaderLock.h
+++ b/libs/control/include/pierbank/control/LeaderLock.h
@@ -20,8 +20,8 @@
     /** Address at which this gateway accepts operators' statements; part of the key's value. */
     Address m_statementAddress;
     /**
-     * Requested duration of the leader lease, after which a dead leader is replaced. The store may
-     * enforce a minimum duration.
+     * Requested duration of the leader lease, after which a leader that has failed is replaced. The
+     * store may enforce a minimum duration.
      */
     Millis m_timeToLive{1000};
     /** Time between two renewals. */
@@ -62,7 +62,7 @@
     void setElectionDelayProvider(std::function<Millis()> getDelay) {
         m_getElectionDelay = std::move(getDelay);
     }
-    /** Sets the predicate that tells whether the leader is reachable over its link. */
+    /** Sets the predicate that returns whether the leader is reachable over its link. */
     void setLeaderProbe(std::function<bool()> hasLeader) { m_hasLeader = std::move(hasLeader); }
     /** Sets the callback for a read of the key that failed. */
     void onReadFailed(std::function<void()> callback) { m_onUnanswered = std::move(callback); }
@@ -74,23 +74,26 @@
      * has become unresponsive. Does nothing while this gateway leads or after release().
      */
     void pollWithin(Millis delay);
-    /** Ends the leadership, if held, at once, and never tries to acquire the key again. */
+    /**
+     * Ends the leadership at once, if this gateway leads, and never tries to acquire the key again.
+     */
     void release();
     /**
      * Ends the leadership because another gateway has superseded this gateway, or because this
-     * leader has to reload its state. The key may be acquired again. Does nothing while not held.
+     * leader has to reload its state. The key may be acquired again. Does nothing while this
+     * gateway does not lead.
      */
     void abandon();
 
     bool isHeld() const noexcept { return m_epoch != 0; }
-    /** Epoch of this gateway's leadership; zero while not held. */
+    /** Epoch of this gateway's leadership; zero while this gateway does not lead. */
     StoreRevision getEpoch() const noexcept { return m_epoch; }
     /**
      * Address at which the leader accepts statements, as of the last read or change of the key;
      * empty when no leader is known.
      */
     std::optional<Address> getLeader() const { return m_leader; }
-    /** Time at which the last successful renewal was sent; valid while held. */
+    /** Time at which the last successful renewal was sent; valid while this gateway leads. */
     Millis getConfirmedAt() const noexcept { return m_confirmedAt; }
 
 private:
--- a/libs/control/include/pierbank/control/LeadershipCandidacy.h
+++ b/libs/control/include/pierbank/control/LeadershipCandidacy.h
@@ -15,27 +15,32 @@
     /** Bandwidth of this gateway's host, in megabits per second. */
     double m_linkMbps = 1000.0;
     /**
-     * Part of the spread per gateway. The election delays of all gateways are distributed over the
-     * spread, so that few gateways write to the store at the same time.
+     * Length of the spread for each gateway. The election delays of all gateways are distributed
+     * over the spread, so that few gateways write to the store at the same time.
      */
     Millis m_spreadPerGateway{2};
     Millis m_maxSpread{200};
-    /** Spread of a gateway that has never had a leader and so can't tell the number of gateways. */
+    /**
+     * Spread of a gateway that has never had a leader and so does not know the number of gateways.
+     */
     Millis m_unknownSpread{50};
-    /** Delay beyond the spread of a gateway with a fitness of zero. */
+    /** Delay of a gateway with a fitness of zero, in addition to the whole spread. */
     Millis m_maxFitnessDelay{100};
 };
 
 /**
- * Decides which gateway goes first for a free leader key, by the election delay of each gateway.
+ * Decides which gateway first tries to acquire a free leader key, by means of the election delay of
+ * each gateway.
  *
- * The delay is a random part of a spread that grows with the number of gateways. The first
- * candidate therefore comes early however many gateways there are, and most of the others see its
- * key before they become candidates themselves.
+ * The delay is a random part of a spread that grows with the number of gateways. The shortest delay
+ * is therefore small however many gateways there are, and most of the other gateways see the key of
+ * the first candidate before they become candidates themselves.
  *
- * A gateway whose fitness is below the best fitness that the last leader reported waits longer, up
- * to beyond the whole spread. Without such a report the fitness of a full core takes the place of
- * the best fitness. Less fit gateways remain candidates and lead if no better gateway is left.
+ * A gateway whose fitness is below the best fitness that the last leader reported waits longer.
+ * The additional delay grows as the fitness falls, up to the whole spread plus m_maxFitnessDelay.
+ * Without such a report the
+ * fitness of a full core is used instead of the best fitness. Less fit gateways remain candidates
+ * and lead if no better gateway is left.
  *
  * Uses neither clock nor network; the owner calls drawElectionDelay() when the key is free.
  */
--- a/libs/control/include/pierbank/control/PendingOrders.h
+++ b/libs/control/include/pierbank/control/PendingOrders.h
@@ -56,15 +56,16 @@
     /**
      * Maximum age of an order at the beginning of an attempt. The state of the failure domain on
      * which the leader based the order may have changed since. Three attempts of 0.7 s each begin
-     * within 1.4 s. Without this limit, an order would wait for a lease for any length of time.
+     * within 1.4 s. Without this limit, an order could wait for a lease indefinitely.
      */
     Millis m_maxOrderAge{1500};
 };
 
 /**
- * Keeps the leader's orders to a worker until their outcome is known. A start whose answer is lost
- * may take effect seconds later. Such a start is repeated. After the last attempt, a stop prevents
- * it from taking effect, and a poll that is sent after this stop shows whether the run had started.
+ * Executes the leader's orders to a worker, and tracks each order until its outcome is known. A
+ * start whose answer is lost may take effect seconds later. Such a start is repeated. After the
+ * last attempt, a stop prevents it from taking effect, and a poll that is sent after this stop
+ * shows whether the run had started.
  *
  * Owned by the sidecar's agent; used on the event loop only.
  */
@@ -84,7 +85,7 @@
     /**
      * Stops a run, or prevents it from ever starting.
      *
-     * @param reason is reported with the absence of the run.
+     * @param reason reason that is reported with the absence of the run.
      */
     void preventStart(const TaskKey& task, std::uint32_t run, std::string_view reason);
     /** Sends the starts that were waiting for a lease. */
--- a/libs/control/include/pierbank/control/RetryAfterPolicy.h
+++ b/libs/control/include/pierbank/control/RetryAfterPolicy.h
@@ -11,11 +11,14 @@
 namespace pierbank {
 
 struct RetryAfterPolicySettings {
-    /** Minimum delay. The Retry-After header counts in seconds, so less can't be expressed. */
+    /**
+     * Minimum delay. The Retry-After header is in whole seconds, so a shorter delay can't be
+     * expressed.
+     */
     Millis m_minDelay{1000};
     /**
      * Maximum delay, before the spread. Outages of the store last seconds; a caller with a longer
-     * delay would return long after the end of the outage.
+     * delay would retry long after the end of the outage.
      */
     Millis m_maxDelay{10'000};
     /** Maximum share of the delay that is added for callers that are not urgent. */
@@ -34,7 +37,7 @@
 /**
  * Chooses the delay after which a refused caller retries, from the store outages that a gateway has
  * seen: the age of the current outage, and the mean duration of earlier ones. Urgent callers retry
- * first; the delays of the others are spread so that they don't all return at once.
+ * first; the delays of the others are spread so that these callers don't all retry at once.
  */
 class RetryAfterPolicy {
 public:
--- a/libs/control/include/pierbank/control/TaskWorker.h
+++ b/libs/control/include/pierbank/control/TaskWorker.h
@@ -29,8 +29,8 @@
 };
 
 /**
- * Target worker and fence of a call. Processes that started under the same id are told apart by the
- * fence only.
+ * Target worker and fence of a call. Processes that started under the same id are distinguished by
+ * the fence only.
  */
 struct WorkerCall {
     std::string m_id;
@@ -139,14 +139,14 @@
     virtual void stop(const WorkerCall& call, const TaskKey& task, std::uint32_t run,
                       std::function<void(const RunReply&)> done) = 0;
     /**
-     * Sets the share at which a run works. Takes effect, also on the interference with other runs,
-     * shortly after the call.
+     * Sets the share of its full speed at which a run works. The new share takes effect shortly
+     * after the call, also on the interference with other runs.
      */
     virtual void pace(const WorkerCall& call, const ThrottleCall& pace,
                       std::function<void(const RunReply&)> done) = 0;
     /**
      * Renews the lease of the worker and polls its runs: running runs, and finished runs whose ends
-     * are not acknowledged yet. May wait for an end (long poll).
+     * are not acknowledged yet. The worker may delay the answer until a run ends (long poll).
      */
     virtual void hold(const WorkerCall& call, const HoldCall& hold,
                       std::function<void(const HoldReply&)> done) = 0;
--- a/libs/control/include/pierbank/control/WorkerAgent.h
+++ b/libs/control/include/pierbank/control/WorkerAgent.h
@@ -47,8 +47,8 @@
      */
     Millis m_restartPollDelay{10};
     /**
-     * Time within which unanswered calls reach the worker, if at all. Later arrivals cannot be
-     * excluded, but are not known to occur.
+     * Time within which unanswered calls reach the worker, if at all. Calls that arrive later
+     * cannot be excluded, but are not known to occur.
      */
     Millis m_maxCallDelay{5000};
     /**
@@ -67,10 +67,10 @@
 };
 
 /**
- * The sidecar's control of its worker. Only the agent calls the worker: it renews the worker's
- * lease up to the time that the leader grants (counted from the moment of the lease request),
- * starts and stops runs as ordered by the leader, and reports running and finished runs. It makes
- * no decisions of its own, and keeps no state that the worker could not report again.
+ * Controls the worker of a sidecar. Only the agent calls the worker: it renews the worker's lease
+ * up to the time that the leader grants (counted from the moment of the lease request), starts and
+ * stops runs as ordered by the leader, and reports running and finished runs. It makes no decisions
+ * of its own, and keeps no state that the worker could not report again.
  *
  * If several leaders are linked, the agent obeys the one with the highest epoch. A start whose
  * answer is lost may take effect seconds later. The agent repeats such a start, and finally
@@ -235,7 +235,9 @@
     std::uint64_t m_firstPollSinceFailure = 0;
     /** Whether a long poll is in progress. */
     bool m_isLongPolling = false;
-    /** When the worker last answered a poll, or when its incarnation began here. */
+    /**
+     * When the worker last answered a poll, or when this agent detected the present incarnation.
+     */
     Millis m_answeredAt{0};
     Millis m_noAnswerLoggedAt{0};
     /** Whether no process was listening at the last poll. */
--- a/libs/control/src/CommitResolver.cpp
+++ b/libs/control/src/CommitResolver.cpp
@@ -83,7 +83,10 @@
         m_done(outcome);
     }
 
-    /** An earlier attempt took effect if all keys of the transaction have the written values. */
+    /**
+     * Reports a conflict as success if an earlier attempt took effect, that is, if all keys that
+     * the transaction writes have the written values.
+     */
     void finishConflict(const StoreCommit& commit) {
         StoreCommit outcome = commit;
         if (m_mayBeCommitted && isWritten(commit, outcome.m_revision)) {
--- a/libs/control/src/ConfigurationFeed.cpp
+++ b/libs/control/src/ConfigurationFeed.cpp
@@ -34,8 +34,8 @@
 }
 
 /**
- * With a usable source, reads the store only while the store is lost, in order to detect its
- * return, or when the copy is too old.
+ * Confirms the copy by a read and maintains the watch, at intervals. With a usable source, the
+ * store is read only while it is lost, in order to detect its return, or when the copy is too old.
  */
 void ConfigurationFeed::poll() {
     const auto age = getAge();
@@ -191,6 +191,7 @@
     return transferMs > static_cast<double>(m_settings.m_slowTransfer.count());
 }
 
+/** Starts a watch unless a watch is open, a source is usable or the value is slow to transfer. */
 void ConfigurationFeed::keepWatching() {
     if (!m_isWatching && !hasUsableSource() && !isSlowToTransfer()) {
         watch();
--- a/libs/control/src/EvacuationFeed.cpp
+++ b/libs/control/src/EvacuationFeed.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/** Maximum age of a list that work is placed by, as a share of the bound. */
+/** Maximum age of a list that is used for placing work, as a share of m_maxEnforcementDelay. */
 constexpr double MAX_AGE_SHARE = 0.6;
 
 }  // namespace
@@ -54,13 +54,13 @@
 }
 
 void EvacuationFeed::handleRead(const StoreList& list, Millis sentAt) {
-    const bool wasCertain = isUpToDate();
+    const bool wasUpToDate = isUpToDate();
     m_confirmedAt = sentAt;
     const Domains before = std::exchange(m_domains, readDomains(list));
     if (m_domains != before) {
         logChanges(before);
     }
-    if ((m_domains != before || !wasCertain) && m_onChange) {
+    if ((m_domains != before || !wasUpToDate) && m_onChange) {
         m_onChange();
     }
 }
--- a/libs/control/src/IncarnationRuns.cpp
+++ b/libs/control/src/IncarnationRuns.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 /**
- * Number of consecutive polls that did not list a confirmed run after which the run is assumed to
- * have ended. This occurs if the answer to its start arrives after its end was listed. A single
+ * If this many consecutive polls do not list a confirmed run, the run is assumed to have ended.
+ * Such a run remains here if the answer to its start arrives after its end was listed. A single
  * poll without the run is not sufficient, because it may be the last poll of an incarnation that
  * has ended.
  */
--- a/libs/control/src/JobIntake.cpp
+++ b/libs/control/src/JobIntake.cpp
@@ -70,7 +70,7 @@
     });
 }
 
-/** Routes a request by the local configuration if that is recent, or has it confirmed first. */
+/** Routes a request by the local configuration, which is confirmed first unless it is recent. */
 void JobIntake::process(const CallPtr& call) {
     const auto age = m_configuration.getAge();
     const bool isRecent = age.has_value() && *age <= m_settings.m_maxConfigurationAge;
@@ -91,6 +91,10 @@
     confirmAndRoute(call);
 }
 
+/**
+ * Finds the queue of a request by the local configuration, which may not be confirmed. Used for the
+ * log and for the retry delay of a request that is refused before it is routed.
+ */
 void JobIntake::findLikelyQueue(Call& call) const {
     const QueueConfiguration* const configuration = m_configuration.get();
     const QueueRoute* const route =
@@ -240,8 +244,8 @@
         answerUnavailable(call, "the configuration keeps changing");
         return;
     }
-    // The answer contains the new configuration. Reading it again would take seconds over a narrow
-    // link.
+    // The answer of the store contains the new configuration. Reading the configuration again would
+    // take seconds over a narrow link.
     const StoreItem* const configuration = findItem(commit.m_items, CONFIGURATION_KEY);
     if (configuration != nullptr && configuration->m_revision > call->m_configurationRevision) {
         m_configuration.applyItem(*configuration, call->m_submittedAt);
@@ -304,7 +308,7 @@
     if (call->m_relayState == Call::RelayState::NOT_SENT) {
         answer(call, status, "", reason);
     } else if (!relayed.has_value()) {
-        // The leader may have accepted the job and died before it answered.
+        // The leader may have accepted the job and crashed before it answered.
         const bool mayRun = call->m_request.m_method == "POST";
         answer(call, mayRun ? HTTP_TIMEOUT : status, "",
                reason + "; the leader did not answer either");
--- a/libs/control/src/JobIntakeCall.h
+++ b/libs/control/src/JobIntakeCall.h
@@ -30,11 +30,11 @@
     Millis m_submittedAt{0};
     /** Encoded job record, as written to the store. */
     std::string m_encodedRecord;
-    /** Writes that conflicted with a change of the configuration. */
+    /** Number of writes that conflicted with a change of the configuration. */
     std::uint32_t m_tries = 0;
     bool m_isAnswered = false;
 
-    /** Answer of this gateway, for the case that the leader has no better one. */
+    /** Answer that this gateway gives unless the leader has a better answer. */
     struct Fallback {
         std::uint32_t m_status = 0;
         std::string m_reason;
@@ -43,7 +43,7 @@
     std::optional<Fallback> m_fallback;
     enum class RelayState : std::uint8_t { NOT_SENT, SENT, FINISHED };
     RelayState m_relayState = RelayState::NOT_SENT;
-    /** Answer of the leader; empty if none came in time. */
+    /** Answer of the leader; empty if no answer came in time. */
     std::optional<IntakeAnswer> m_leaderAnswer;
 };
 
--- a/libs/control/src/JobIntakeReads.cpp
+++ b/libs/control/src/JobIntakeReads.cpp
@@ -101,7 +101,8 @@
                      } else if (read.m_status != StoreStatus::NOT_FOUND) {
                          answerUnavailable(call, "the job can't be read");
                      } else if (hasRun) {
-                         // The job's run was found just before, so the job has finished since.
+                         // The previous read found the job's run, so the job has finished since
+                         // then.
                          answer(call, HTTP_OK, "", "the job has finished");
                      } else {
                          answer(call, HTTP_GONE, "", "there is no such job");
@@ -133,8 +134,8 @@
 
 /**
  * Answers a read if the current configuration still allows the request. A read may take long enough
- * for the configuration to change. Otherwise the answer would show an older configuration than that
- * of a concurrent request that waited for the newer one.
+ * for the configuration to change. Without this check the answer would then show an older
+ * configuration than that of a concurrent request that waited for the newer one.
  */
 void JobIntake::answerRead(const CallPtr& call, std::string body, std::string_view reason) {
     if (isStillAllowed(*call)) {
--- a/libs/control/src/LeaderLink.cpp
+++ b/libs/control/src/LeaderLink.cpp
@@ -11,11 +11,11 @@
 /** Time between two queries until the leader sets another interval. */
 constexpr Millis QUERY_INTERVAL{500};
 /**
- * The leader replies to each query. A leader that sends nothing until this long after the next
- * query was due is unresponsive.
+ * The leader replies to each query. A leader that has sent nothing for the interval between two
+ * queries plus this time is unresponsive.
  */
 constexpr Millis MAX_REPLY_DELAY{800};
-/** Timeout for the reply to one query; the caller of the query then turns to the store. */
+/** Timeout for the reply to one query; the caller of the query then uses the store instead. */
 constexpr Millis QUERY_TIMEOUT{300};
 
 }  // namespace
@@ -30,13 +30,17 @@
     keepAlive();
 }
 
-/** Queries at once: a new leader has neither the number of gateways nor their fitness yet. */
+/**
+ * Sends a query at once, because a new leader has neither the number of gateways nor their fitness
+ * yet.
+ */
 void LeaderLink::handleLeader(const LeaderHello& hello) {
     m_requestInterval = QUERY_INTERVAL;
     queryConfiguration([this](const auto& notice) { applyNotice(notice); });
     m_onLeader(hello.m_epoch);
 }
 
+/** Sends a query at each interval as a heartbeat, and measures the lag of the event loop. */
 void LeaderLink::keepAlive() {
     checkLeaderTimeout();
     if (m_port.isLinked()) {
@@ -118,8 +122,8 @@
     if (m_openQueries.count(reply.m_number) != 0) {
         finishQuery(reply.m_number, reply);
     } else {
-        // Unsolicited, or later than the timeout: without the time of a query the notice confirms
-        // nothing, but may report a newer revision.
+        // The reply is unsolicited, or came after the timeout. Without the time of a query the
+        // notice confirms nothing, but it may report a newer revision.
         m_onNotice({reply.m_revision, Millis(0)});
     }
 }
@@ -142,7 +146,8 @@
     request.m_number = number;
     m_openRelays[number] = std::move(done);
     const bool isSent = m_port.send(request);
-    // A request that could not be sent fails on the next turn of the loop, others by timeout.
+    // A request that could not be sent fails on the next turn of the loop, other requests fail by
+    // timeout.
     m_loop.callLater(isSent ? timeout : Millis(0),
                      [this, number, alive = std::weak_ptr(m_isAlive)] {
                          if (!alive.expired()) {
--- a/libs/control/src/LeaderLock.cpp
+++ b/libs/control/src/LeaderLock.cpp
@@ -96,7 +96,8 @@
 
 /**
  * A watch that ended without an event may have missed a change, so the key is read again. While the
- * leader is reachable over its link, this read is omitted: hundreds of gateways would send one.
+ * leader is reachable over its link, this read is omitted, since hundreds of gateways would send
+ * such a read.
  */
 void LeaderLock::handleChanges(const StoreChanges& changes) {
     if (changes.m_status != StoreStatus::OK) {
@@ -118,6 +119,7 @@
     watchKey(changes.m_at);
 }
 
+/** Schedules an attempt to acquire the free key after this gateway's election delay. */
 void LeaderLock::startCandidacy() {
     if (m_electionTimer != TimerId::NONE || m_isAcquiring || isHeld() || m_isReleased) {
         return;
@@ -186,7 +188,8 @@
     if (!isHeld()) {
         return;
     }
-    // Scheduled before the answer arrives, so that a lost answer does not cost the lease.
+    // The next renewal is scheduled before the answer arrives, so that the lease does not lapse
+    // because one answer is lost.
     m_loop.callLater(m_settings.m_renewalInterval, guarded([this] { renew(); }));
     const Millis sentAt = m_loop.now();
     m_store.renewLease(m_lease, [this, sentAt, lease = m_lease,
--- a/libs/control/src/PendingOrders.cpp
+++ b/libs/control/src/PendingOrders.cpp
@@ -137,8 +137,9 @@
 }
 
 /**
- * Handles the answer to a stop: requests a poll that shows its effect, or repeats the stop. The
- * order is dropped if the worker has been called with a higher fence than this sidecar has.
+ * Handles the answer to a stop: requests a poll that shows the effect of the stop, or repeats the
+ * stop. The order is dropped if the worker has been called with a higher fence than the present
+ * fence of this sidecar.
  */
 void PendingOrders::handleStopped(const RunKey& key, const RunReply& reply) {
     const auto found = m_orders.find(key);
--- a/libs/control/src/RetryAfterPolicy.cpp
+++ b/libs/control/src/RetryAfterPolicy.cpp
@@ -24,8 +24,9 @@
 }
 
 /**
- * Expects the outage to last as long as the mean of the earlier ones, or for another half of its
- * age if it has already lasted longer.
+ * Returns the expected remaining duration of the current outage. The outage is expected to last as
+ * long as the mean of the earlier outages, or for another half of its age if it has already lasted
+ * longer than that mean.
  */
 Millis RetryAfterPolicy::estimateRemaining(Millis now) const {
     if (!m_lostAt.has_value()) {
--- a/libs/control/src/TaskThrottle.cpp
+++ b/libs/control/src/TaskThrottle.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** Share of tasks that are not throttled. */
+/** Share, in percent, at which a task runs that is not throttled. */
 constexpr std::uint32_t FULL_PERCENT = 100;
 
 }  // namespace
--- a/libs/control/src/TicketCache.cpp
+++ b/libs/control/src/TicketCache.cpp
@@ -84,6 +84,7 @@
     return toQuery;
 }
 
+/** Sends a query for the step that comes first, unless a query is already under way. */
 void TicketCache::sendNextQuery() {
     if (m_isQuerying) {
         return;
--- a/libs/control/src/WorkerAgent.cpp
+++ b/libs/control/src/WorkerAgent.cpp
@@ -48,9 +48,9 @@
 
 void WorkerAgent::handleLeader(const LeaderHello& hello, bool isNewEpoch) {
     m_fence.handleLink(hello.m_epoch, hello.m_link);
-    // The leader may have placed runs elsewhere that it ordered over an earlier link, even over its
-    // own. Only orders over the present link are valid. The leader repeats orders for runs that the
-    // reports do not list.
+    // Runs that were ordered over an earlier link may have been placed elsewhere since, even if the
+    // same leader opened that link. Only orders over the present link are valid. The leader repeats
+    // orders for runs that the reports do not list.
     m_orders.clear();
     m_pendingLeaseRequests.clear();
     if (isNewEpoch) {
@@ -102,8 +102,8 @@
 }
 
 /**
- * Returns whether the worker, if known, has not answered polls within its timeout or refused the
- * last connection.
+ * Returns whether a worker is known that has not answered a poll for m_workerTimeout, or that
+ * refused the last connection.
  */
 bool WorkerAgent::isWorkerUnresponsive() const {
     const bool isOverdue = m_loop.now() - m_answeredAt > m_settings.m_workerTimeout;
@@ -184,7 +184,7 @@
 
 /**
  * Sends the state of the worker to the leader. Nothing is sent for an unconfirmed incarnation,
- * because its heartbeat may be a delayed one of a previous incarnation.
+ * because its heartbeat may be a delayed heartbeat of a previous incarnation.
  */
 void WorkerAgent::sendNotice() {
     if (!m_incarnation.isEmpty() && !isConfirmed()) {
@@ -212,6 +212,10 @@
     m_leader.send(notice);
 }
 
+/**
+ * Reports the runs to the leader if the number of running runs or the finished runs have changed,
+ * if a report is due, or if m_mustReport is set.
+ */
 void WorkerAgent::sendReport() {
     RunReport report;
     report.m_incarnation = m_incarnationName;
--- a/libs/control/src/WorkerAgentIncarnation.cpp
+++ b/libs/control/src/WorkerAgentIncarnation.cpp
@@ -15,13 +15,13 @@
  */
 constexpr std::size_t MAX_PREVIOUS_INCARNATIONS = 32;
 /**
- * Increase of the remaining cold time above which the worker counts as cold again. Timing
+ * Increase of the remaining warm-up time above which the worker counts as cold again. Timing
  * differences between heartbeats and clocks are smaller.
  */
 constexpr Millis MIN_COLD_INCREASE{1000};
 /**
- * Number of crashes that are reported to leaders. Each crash is reported long before so many more
- * occur.
+ * Number of crashes that are reported to leaders. Each crash is reported long before this many
+ * further crashes occur.
  */
 constexpr std::size_t MAX_CRASHES = 8;
 
@@ -86,11 +86,17 @@
            m_heartbeat->m_failureDomain != heartbeat.m_failureDomain;
 }
 
-/** Returns the remaining cold time, extrapolated from the last heartbeat. */
+/** Returns the remaining warm-up time, extrapolated from the last heartbeat. */
 Millis WorkerAgent::getRemainingColdTime() const {
     return std::max(m_heartbeat->m_warmUpRemaining - (m_loop.now() - m_heartbeatAt), Millis(0));
 }
 
+/**
+ * Ignores the announcement if it names a process other than the present one. Otherwise marks the
+ * worker as exited if the announcement names the start time of the present process, if the worker
+ * reports no start time, or if the worker is draining. In other cases a poll first verifies that
+ * the worker has exited.
+ */
 void WorkerAgent::handleLeave(const WorkerIncarnation& incarnation) {
     const bool isSameProcess = incarnation.m_processStartedAt != 0 &&
                                incarnation.m_processStartedAt == m_incarnation.m_processStartedAt;
@@ -114,7 +120,7 @@
 
 /**
  * Verifies with a poll that the worker has exited. An exit announcement that names only the id may
- * be a delayed one of a previous process.
+ * be a delayed announcement of a previous process.
  */
 void WorkerAgent::verifyLeave() {
     const auto term = std::weak_ptr(m_term);
@@ -252,7 +258,8 @@
 
 /**
  * Records the end of the present incarnation as a crash if the end was not announced. The runs of
- * an incarnation that never answered a poll are unknown, so it is not recorded.
+ * an incarnation that never answered a poll are unknown, so the end of such an incarnation is not
+ * recorded.
  */
 void WorkerAgent::endIncarnation() {
     const bool wasLeaving = m_heartbeat.has_value() && m_heartbeat->m_isDraining;
--- a/libs/control/src/WorkerAgentPolls.cpp
+++ b/libs/control/src/WorkerAgentPolls.cpp
@@ -185,10 +185,12 @@
               {"epoch", std::to_string(m_leader.getEpoch())}});
 }
 
+/** Records that the present process answered a poll that was sent after the last failed call. */
 void WorkerAgent::recordAnswer(std::uint64_t number) {
     if (!m_isAnswering && number >= m_firstPollSinceFailure) {
         m_isAnswering = true;
-        // Orders are not sent while it is unknown which process is running.
+        // Orders are not sent while it is unknown which process is running; those that waited are
+        // sent now.
         m_loop.callLater(Millis(0), guarded([this] { m_orders.sendWaitingStarts(); }));
     }
 }
@@ -214,7 +216,7 @@
         return end.m_number <= m_lastPersisted;
     };
     if (std::erase_if(m_ended, isPersisted) != 0) {
-        // The acknowledgement was not executed, or not yet.
+        // The worker did not execute the acknowledgement, or had not executed it yet.
         m_mustAcknowledge = true;
     }
     m_incarnationRuns.recordPoll(m_running, reply.m_ended, m_loop.now());
--- a/libs/control/src/WorkerFence.cpp
+++ b/libs/control/src/WorkerFence.cpp
@@ -10,7 +10,7 @@
 /**
  * The lowest bits count raises during one link, the next bits count links, and the remaining bits
  * are the epoch. The epoch is a revision of the store. It has 29 bits, because the whole value must
- * stay below 53 bits, up to which every parser of numbers is exact. If there are more raises during
+ * fit into 53 bits, up to which every parser of numbers is exact. If there are more raises during
  * one link or more links in one epoch than these bits can count, the fence still rises as long as
  * the sidecar runs.
  */
--- a/libs/control/src/WorkerPool.cpp
+++ b/libs/control/src/WorkerPool.cpp
@@ -65,11 +65,12 @@
  * sooner after the failure.
  */
 Millis WorkerPool::getRequestInterval() const {
-    const double each = MILLIS_PER_SECOND / m_settings.m_requestsPerSecond;
-    const Millis fair(std::llround(each * static_cast<double>(m_hosts.size())));
+    const double millisPerRequest = MILLIS_PER_SECOND / m_settings.m_requestsPerSecond;
+    const Millis intervalAtMaxRate(
+            std::llround(millisPerRequest * static_cast<double>(m_hosts.size())));
     const Millis longest(std::llround(m_settings.m_requestIntervalShare *
                                       static_cast<double>(m_settings.m_leaseDuration.count())));
-    return std::max(m_settings.m_minRequestInterval, std::min(fair, longest));
+    return std::max(m_settings.m_minRequestInterval, std::min(intervalAtMaxRate, longest));
 }
 
 /** Returns the longest time that a lease may last on the slow clock of a worker. */
@@ -194,6 +195,10 @@
     }
 }
 
+/**
+ * Renews the lease of a host, unless its worker is unresponsive or the leadership was last
+ * confirmed more than m_outageGrace ago.
+ */
 void WorkerPool::answerLeaseRequest(Host& host, const LeaseRequest& leaseRequest) {
     if (host.m_isWorkerUnresponsive != leaseRequest.m_isWorkerUnresponsive) {
         host.m_isWorkerUnresponsive = leaseRequest.m_isWorkerUnresponsive;
@@ -218,6 +223,7 @@
     host.m_link->send(LeaseRenewal{m_epoch, leaseRequest.m_sequence, ttl, nextRequestMs});
 }
 
+/** Closes idle links, reports hosts whose leases have lapsed, and removes expired hosts. */
 void WorkerPool::tick() {
     std::vector<std::string> unresponsive;
     std::vector<std::string> lost;
--- a/libs/control/src/WorkerPoolLinks.cpp
+++ b/libs/control/src/WorkerPoolLinks.cpp
@@ -9,9 +9,9 @@
 
 /**
  * Connects again to a host that registered. A host registers when it starts, and while no leader is
- * linked. A link to its previous process may show no failure for `m_linkTimeout`. A connection
- * attempt that began while the host was without power continues only with the retransmission of its
- * first packet, after a second.
+ * linked. A link to its previous process may show no failure for `m_linkTimeout`, so an idle link
+ * is closed. A connection attempt that began while the host was without power continues only with
+ * the retransmission of its first packet, after a second, so another attempt is queued.
  */
 void WorkerPool::reconnect(Host& host) {
     const Millis maxIdleTime = getRequestInterval() + m_settings.m_idleSlack;
@@ -34,6 +34,7 @@
     openQueuedLinks();
 }
 
+/** Connects to queued hosts, up to the maximum number of links that are opened concurrently. */
 void WorkerPool::openQueuedLinks() {
     while (!m_openQueue.empty() && m_opening.size() < m_settings.m_maxOpeningLinks) {
         const std::string address = std::move(m_openQueue.front());
@@ -57,8 +58,9 @@
 }
 
 /**
- * Ends the opening of a link, because the host has sent its first report or its time is over, and
- * opens the next links.
+ * Ends the opening of a link, because the host has sent its first run report or gateway query,
+ * m_linkOpenTimeout has passed, the attempt has failed or the host has registered again. Then opens
+ * the next links.
  */
 void WorkerPool::finishOpening(const std::string& address) {
     const auto found = m_opening.find(address);
--- a/libs/control/test/PendingOrdersTest.cpp
+++ b/libs/control/test/PendingOrdersTest.cpp
@@ -87,8 +87,9 @@
 }
 
 /**
- * An order waited without limit and was executed with the next lease, however long after the
- * decision of the leader. An order older than the limit must be rejected.
+ * Guards against a fault in which an order waited without limit and was executed with the next
+ * lease, however long after the decision of the leader. An order older than the limit must be
+ * rejected.
  */
 TEST_F(AnOrderWithoutALease, IsPreventedWhenTheLeaseComesTooLate) {
     m_loop.advance(Millis(2000));
@@ -101,8 +102,8 @@
 }
 
 /**
- * Without this rule, the third attempt started the run a second time, in the next process of the
- * worker.
+ * Guards against a fault in which the third attempt started the run a second time, in the next
+ * process of the worker.
  */
 TEST_F(PendingOrdersTest, AStartWhoseRunIsListedIsNotTriedAgain) {
     m_worker.m_startsToDelay = 2;
--- a/libs/store/include/pierbank/store/RecordStore.h
+++ b/libs/store/include/pierbank/store/RecordStore.h
@@ -83,7 +83,10 @@
     std::string m_reason;
 };
 
-/** Outcome of listing a prefix. Not a snapshot; a watch from `m_at` delivers missed changes. */
+/**
+ * Outcome of listing a prefix. The items are not a snapshot; a watch that continues from `m_at`
+ * delivers the changes that the list missed.
+ */
 struct StoreList {
     StoreStatus m_status = StoreStatus::UNKNOWN;
     std::vector<StoreItem> m_items;
@@ -136,8 +139,8 @@
     /** Lists the keys with a prefix. */
     virtual void list(std::string_view prefix, std::function<void(const StoreList&)> done) = 0;
     /**
-     * Watches the keys with a prefix. Answers as soon as there are changes after revision `after`,
-     * or with no events after about `maxWait`.
+     * Watches the keys with a prefix. `done` is called as soon as there are changes after revision
+     * `after`, or without events after about `maxWait`.
      */
     virtual void watch(std::string_view prefix, StoreRevision after, Millis maxWait,
                        std::function<void(const StoreChanges&)> done) = 0;
@@ -152,7 +155,10 @@
                              std::function<void(const StoreLeaseReply&)> done) = 0;
     /** Renews a lease; NOT_FOUND if the lease has lapsed. */
     virtual void renewLease(StoreLease lease, std::function<void(const StoreLeaseReply&)> done) = 0;
-    /** Ends a lease and removes its keys. Has no callback, since the lease would lapse anyway. */
+    /**
+     * Ends a lease and removes its keys. This call has no callback, since the lease would lapse
+     * anyway.
+     */
     virtual void endLease(StoreLease lease) = 0;
 };
 
--- a/libs/wire/include/pierbank/wire/Frame.h
+++ b/libs/wire/include/pierbank/wire/Frame.h
@@ -65,7 +65,7 @@
  */
 struct GatewayReply {
     std::uint64_t m_number = 0;
-    /** Store revision of the leader's configuration; zero: the leader has none. */
+    /** Store revision of the leader's configuration; zero: the leader has no configuration. */
     std::uint64_t m_revision = 0;
     std::uint64_t m_ageMs = 0;
     /** Time until the next query; zero: the gateway's own setting applies. */
@@ -102,7 +102,10 @@
     bool operator==(const RelayedAnswer&) const = default;
 };
 
-/** Leader to sidecar or gateway, first frame: fences off the leaders of lower epochs. */
+/**
+ * Leader to sidecar or gateway, first frame of a link: identifies the leader. From then on the
+ * receiver rejects leaders with lower epochs.
+ */
 struct LeaderHello {
     std::uint64_t m_epoch = 0;
     std::string m_node;
@@ -117,12 +120,15 @@
     std::uint32_t m_run = 0;
     /** Time from the start until the worker was first seen unresponsive, in milliseconds. */
     std::uint64_t m_ranMs = 0;
-    /** Whether the worker had confirmed the run; otherwise the start was never answered. */
+    /** Whether the worker had confirmed the run; otherwise the worker never answered the start. */
     bool m_isConfirmed = false;
     bool operator==(const CrashedRunEntry&) const = default;
 };
 
-/** Incarnation of a worker that was followed by another without having announced its exit. */
+/**
+ * Incarnation of a worker that was followed by another incarnation without having announced its
+ * exit.
+ */
 struct WorkerCrash {
     std::string m_incarnation;
     /** Whether the incarnation was draining, which may explain the exit. */
@@ -238,7 +244,10 @@
     bool operator==(const InputNotice&) const = default;
 };
 
-/** Any message between processes of the system. The position is the type number on the wire. */
+/**
+ * Any message between processes of the system. A message's position in this list is its type number
+ * on the wire.
+ */
 using Frame = std::variant<LeaderHello, LeaseRequest, LeaseRenewal, WorkerNotice, RunReport,
                            RunOrder, RunStop, RunAbsent, EndsPersisted, InputNotice, RelayedRequest,
                            RelayedAnswer, GatewayQuery, GatewayReply>;
--- a/libs/wire/src/SocketLink.cpp
+++ b/libs/wire/src/SocketLink.cpp
@@ -90,7 +90,7 @@
 }
 
 void SocketLink::handleReady(bool canRead, bool canWrite) {
-    // A callback may release the last other owner.
+    // A callback may release the last other reference to this link.
     const auto link = shared_from_this();
     if (canWrite) {
         flush();
--- a/libs/wire/src/SocketPoller.cpp
+++ b/libs/wire/src/SocketPoller.cpp
@@ -68,7 +68,7 @@
     const int count = epoll_wait(m_epoll, events.data(), MAX_EVENTS_PER_TURN, 0);
     for (int i = 0; i < count; ++i) {
         const epoll_event& event = events[static_cast<std::size_t>(i)];
-        // A listener called before may have removed this one.
+        // A listener that was called earlier in this loop may have removed this entry.
         const auto found = m_entries.find(Id{event.data.u64});
         if (found != m_entries.end()) {
             const bool canWrite = (event.events & EPOLLOUT) != 0;
--- a/libs/wire/src/WebSocketCodec.cpp
+++ b/libs/wire/src/WebSocketCodec.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-/** Common base for the two roles; the connection types of websocketpp have none. */
+/** Common base for the two roles; the connection types of websocketpp have no common base. */
 class WebSocketCodec::Detail {
 public:
     explicit Detail(Callbacks callbacks) : m_callbacks(std::move(callbacks)) {}
