--- a/bench/fleet/main.cpp
+++ b/bench/fleet/main.cpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 /*
  * pierbank-fleet: runs a store and any number of sidecars with workers in one process on loopback,
- * so that a real gateway that leads them can be measured and profiled at the size of a whole fleet:
+ * so that a real gateway that leads these sidecars can be measured and profiled at the size of a
+ * whole fleet:
  *
  *     pierbank-fleet --store 127.0.0.1:7001 --workers 800 &
  *     pierbank-gateway --settings gateway.ini &
--- a/bench/plots/plot.sh
+++ b/bench/plots/plot.sh
@@ -8,7 +8,7 @@
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
 
-# plot NAME COLUMN TITLE HOW: plots a column of FILE, by HOW as the mean or the maximum over the seeds.
+# plot NAME COLUMN TITLE HOW: plots a column of FILE; HOW selects the mean or the maximum over the seeds.
 plot() {
     awk -F'\t' -v column="$2" -v how="$4" '
         $1 == "workload" || NF < 16 { next }
--- a/bench/replay/Policies.h
+++ b/bench/replay/Policies.h
@@ -15,13 +15,16 @@
 struct PolicyInput {
     const std::vector<WorkerSnapshot>& m_workers;
     const std::vector<PlannedJob>& m_jobs;
-    /** Remaining time of active tasks, by their declared run times. */
+    /** Estimated remaining time of each active task, from its declared run time. */
     const std::map<TaskKey, Millis>& m_remaining;
     const std::map<std::string, std::uint32_t>& m_guarantees;
     Millis m_now{0};
 };
 
-/** Scheduling policy under replay; plan() is called once after all events of one time. */
+/**
+ * Scheduling policy that a replay evaluates. For each point in virtual time, plan() is called once,
+ * after all events of that time.
+ */
 class ReplayPolicy {
 public:
     virtual ~ReplayPolicy() = default;
@@ -57,13 +60,16 @@
                                                const FreeAccelerators& free) = 0;
 };
 
-/** Chooses the first workers in their order that fit the job. */
+/** Chooses the first workers, in the order of PolicyInput, on which the job fits. */
 class FirstFitFifo final : public ArrivalOrderPolicy {
     std::optional<WorkerChoice> choose(const PolicyInput& input, const JobRecord& record,
                                        const FreeAccelerators& free) override;
 };
 
-/** Chooses the workers with the least free capacity; no guarantees, reservations or preemption. */
+/**
+ * Chooses the workers with the least free capacity on which the job fits. Uses no guarantees,
+ * reservations or preemption.
+ */
 class BestFit final : public ArrivalOrderPolicy {
     std::optional<WorkerChoice> choose(const PolicyInput& input, const JobRecord& record,
                                        const FreeAccelerators& free) override;
@@ -74,7 +80,10 @@
     std::optional<WorkerChoice> choose(const PolicyInput& input, const JobRecord& record,
                                        const FreeAccelerators& free) override;
 
-    /** Organisation of each worker, set by the first choice. */
+    /**
+     * Organisation to which each worker is assigned, by the worker's index. Set by the first call
+     * of choose().
+     */
     std::vector<std::string> m_ownerOf;
 };
 
--- a/bench/replay/Replay.cpp
+++ b/bench/replay/Replay.cpp
@@ -23,7 +23,9 @@
 constexpr Millis FAILURE_DELAY{30'000};
 /** Maximum time between two plans: waiting times and the health of hosts depend on time. */
 constexpr Millis MAX_PLAN_INTERVAL{300'000};
-/** Time without a finished or new job after which the replay ends: the rest can never run. */
+/**
+ * Time without a finished or new job after which the replay ends: the remaining jobs can never run.
+ */
 constexpr Millis NO_PROGRESS_TIMEOUT{14LL * 24 * 3'600'000};
 
 double toHours(Millis time) {
@@ -52,7 +54,10 @@
     /** Run time that the checkpoint preserves. */
     Millis m_progress{0};
     Millis m_startedAt{0};
-    /** Number of the current run; events of an earlier run are ignored. */
+    /**
+     * Incremented when the job is started, is stopped or fails. Events scheduled with an earlier
+     * value are ignored.
+     */
     std::uint64_t m_attempt = 0;
     std::uint32_t m_preemptions = 0;
 
@@ -61,7 +66,7 @@
     Millis getRestartCost() const { return RESTART_COST * m_preemptions; }
 };
 
-/** Returns the nearest lower quantile; zero without values. */
+/** Returns the quantile, rounded down to the nearest of the values; zero without values. */
 double quantile(std::vector<double> values, double probability) {
     if (values.empty()) {
         return 0;
@@ -78,7 +83,10 @@
     return values.empty() ? 0 : sum / static_cast<double>(values.size());
 }
 
-/** Simulation: handles events in order of time and applies a plan after each point in time. */
+/**
+ * Simulation: handles events in order of time, and makes and applies a plan after all events of
+ * each point in time.
+ */
 class Run {
 public:
     Run(const Workload& workload, ReplayPolicy& policy)
@@ -248,7 +256,10 @@
         return jobs;
     }
 
-    /** Estimates by declared run times; a job beyond its declared time has zero remaining. */
+    /**
+     * Estimates the remaining time of each active task from the declared run time of its job; zero
+     * for a job that has exceeded its declared run time.
+     */
     std::map<TaskKey, Millis> estimateRemaining() const {
         std::map<TaskKey, Millis> remaining;
         for (const auto& [id, job] : m_jobs) {
@@ -303,7 +314,10 @@
         stopLater(job);
     }
 
-    /** Advances the time and adds the fragmentation of the time until then. */
+    /**
+     * Advances the virtual time to `now` and adds the fragmentation of the elapsed time to the
+     * sums.
+     */
     void integrateTo(Millis now) {
         const auto elapsed = static_cast<double>((now - m_now).count());
         m_now = now;
--- a/bench/replay/Workload.cpp
+++ b/bench/replay/Workload.cpp
@@ -49,7 +49,10 @@
     }
 }
 
-/** Guarantees each organisation half a worker, and the first ones, which are large, also a gang. */
+/**
+ * Guarantees half a worker to each organisation, and also a gang to the first quarter of the
+ * organisations, at least one, which are the large organisations.
+ */
 void addOrganisations(const WorkloadPlan& plan, Workload& workload) {
     const std::uint32_t large = plan.m_largeMembers * plan.m_largeAccelerators;
     const std::uint32_t small = std::max(1U, plan.m_accelerators / 2);
--- a/bench/replay/Workload.h
+++ b/bench/replay/Workload.h
@@ -16,11 +16,11 @@
     Millis m_at{0};
     JobRecord m_record;
     Millis m_trueRunTime{0};
-    /** Time at which its organisation withdraws the job; zero for never. */
+    /** Time at which the organisation withdraws the job; zero for never. */
     Millis m_withdrawnAt{0};
 
     const StepSpec& getStep() const { return m_record.m_spec.m_steps.front(); }
-    /** Returns the accelerators of all members. */
+    /** Returns the number of accelerators that all members need together. */
     std::uint32_t getTotal() const { return getStep().m_tasks * getStep().m_need.m_accelerators; }
     bool isUrgent() const { return m_record.m_policy.m_priority == 0; }
 };
@@ -32,7 +32,9 @@
     /** Accelerators guaranteed to each organisation. */
     std::map<std::string, std::uint32_t> m_guarantees;
     std::vector<Arrival> m_arrivals;
-    /** Gang guaranteed to large organisations, by which fragmentation is measured. */
+    /**
+     * Gang that is guaranteed to each large organisation. Fragmentation is measured for this gang.
+     */
     StepSpec m_referenceGang;
     /** Worker on which every task fails; empty for none. */
     std::string m_failingWorker;
@@ -54,7 +56,7 @@
     /** Share of the jobs that are large gangs within one rack. */
     double m_largeShare = 0.15;
     std::uint32_t m_largeMembers = 2;
-    /** Members of the largest gangs, which are half of the large jobs on average. */
+    /** Number of members of the largest gangs, which are half of the large jobs on average. */
     std::uint32_t m_largestMembers = 3;
     std::uint32_t m_largeAccelerators = 8;
     /** Maximum factor by which declared run times are too long or too short. */
@@ -72,7 +74,7 @@
 /** Generates a workload; the same plan gives the same workload. */
 Workload makeWorkload(const WorkloadPlan& plan);
 
-/** Returns the plans of the benchmark; the last has the size of a whole region. */
+/** Returns the plans of the benchmark; the last plan has the size of a whole region. */
 std::vector<WorkloadPlan> getPlans(std::uint64_t seed);
 
 }  // namespace pierbank::replay
--- a/fuzz/DecodersFuzz.cpp
+++ b/fuzz/DecodersFuzz.cpp
@@ -21,8 +21,8 @@
 }
 
 /**
- * Checks that the valid rows of a configuration are read whatever the fuzzed row beside them is,
- * and that no route without a host or a path prefix is accepted.
+ * Checks that the valid rows of a configuration are read regardless of the content of the fuzzed
+ * row beside them, and that no route without a host or a path prefix is accepted.
  */
 void checkRows(std::string_view bytes, const pierbank::DocumentCodec& documents) {
     const nlohmann::json row = pierbank::adapter::parseJson(bytes);
--- a/libs/base/include/pierbank/base/Archive.h
+++ b/libs/base/include/pierbank/base/Archive.h
@@ -161,11 +161,11 @@
     }
 
     /**
-     * Returns the number of fields that were written. A type uses the number to recognise an older
-     * encoding of itself.
+     * Returns the number of fields that were written. The describe() of a type uses the number to
+     * recognise an older encoding of the type.
      */
     std::size_t getSize() const noexcept { return m_array.size(); }
-    /** Makes the reading fail because the fields contradict each other. */
+    /** Makes the reading fail. describe() calls this when the fields contradict each other. */
     void fail() noexcept { m_isGood = false; }
 
 private:
--- a/libs/base/include/pierbank/base/Metrics.h
+++ b/libs/base/include/pierbank/base/Metrics.h
@@ -39,7 +39,10 @@
 public:
     /** Adds a counter without labels. @param help description of the metric. */
     void addCounter(std::string_view name, std::string_view help, std::uint64_t value);
-    /** Adds a counter with labels. @param values by the labels, in the form `kind="read"`. */
+    /**
+     * Adds a counter with labels. @param values value for each set of labels, which has the form
+     * `kind="read"`.
+     */
     void addCounters(std::string_view name, std::string_view help,
                      const std::map<std::string, std::uint64_t>& values);
     void addGauge(std::string_view name, std::string_view help, double value);
--- a/libs/base/include/pierbank/base/Random.h
+++ b/libs/base/include/pierbank/base/Random.h
@@ -8,7 +8,10 @@
 
 namespace pierbank {
 
-/** Pseudorandom number generator. Programs use a seed of the system, tests a constant seed. */
+/**
+ * Pseudorandom number generator. Programs use a seed from the operating system, tests a constant
+ * seed.
+ */
 class Random {
 public:
     explicit Random(std::uint64_t seed) : m_engine(seed) {}
--- a/libs/base/include/pierbank/base/UnreadableInputs.h
+++ b/libs/base/include/pierbank/base/UnreadableInputs.h
@@ -11,9 +11,9 @@
 namespace pierbank {
 
 /**
- * Counts and logs an entry of another process that cannot be decoded. The first ten entries of a
- * kind are logged, and later entries at each doubling of the count, so that a faulty writer does
- * not flood the log.
+ * Counts and logs an entry that another process wrote and this process cannot decode. The first ten
+ * entries of a kind are logged, and later entries at each doubling of the count, so that a faulty
+ * writer does not flood the log.
  * @param component,event as in logEvent(); together they identify the kind.
  * @param fields identify the entry and the error; the count is added to the log line.
  */
--- a/libs/base/src/GlibEventLoop.cpp
+++ b/libs/base/src/GlibEventLoop.cpp
@@ -15,8 +15,9 @@
 
 constexpr gint64 MICROS_PER_MILLI = 1000;
 /**
- * Shortest difference that counts as a suspension. The two clocks are read one after the other, so
- * that their difference varies. Suspensions that affect leases are longer.
+ * Minimum growth of the difference between the two clocks that counts as a suspension. The clocks
+ * are read one after the other, so that their difference varies. Suspensions that affect leases are
+ * longer.
  */
 constexpr Millis MIN_SUSPENSION{20};
 
@@ -85,9 +86,10 @@
 }
 
 /**
- * Leases, grants and confirmations have to include the time for which this machine was suspended,
- * because the other processes include that time. With the monotonic clock, a sidecar that resumed
- * would renew runs that have already started on another worker.
+ * Returns CLOCK_BOOTTIME: leases, grants and confirmations have to include the time for which this
+ * machine was suspended, because processes on other machines include that time. With the monotonic
+ * clock, a sidecar would, after a suspension, renew runs that have already started on another
+ * worker.
  */
 Millis GlibEventLoop::now() const noexcept {
     return m_clocks.getBootTime();
--- a/libs/base/test/GlibEventLoopTest.cpp
+++ b/libs/base/test/GlibEventLoopTest.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 /*
  * Machines may be suspended for seconds. CLOCK_MONOTONIC stops meanwhile, while the clocks of other
- * machines advance. A process that measured time with it would treat expired leases as valid after
- * it resumes.
+ * machines advance. A process that measured time with CLOCK_MONOTONIC would treat expired leases as
+ * valid after its machine resumes.
  */
 #include "pierbank/base/GlibEventLoop.h"
 
@@ -25,8 +25,8 @@
 };
 
 /**
- * A loop with timers of one and of ten minutes. A suspension of 70 seconds is simulated in its
- * first iteration, which sets a further timer of 50 ms to end the test.
+ * A loop with timers of one and of ten minutes. A suspension of 70 seconds is simulated in the
+ * first iteration of the loop. That iteration sets a further timer of 50 ms, which ends the test.
  */
 class SuspendedEventLoopTest : public ::testing::Test {
 protected:
--- a/libs/daemon/include/pierbank/daemon/GatewaySettings.h
+++ b/libs/daemon/include/pierbank/daemon/GatewaySettings.h
@@ -32,7 +32,7 @@
     OperatorTokens m_tokens;
     /**
      * Maximum age of the configuration of a gateway that reports itself as ready. An older
-     * configuration is permitted while the gateway has a usable link to another leader.
+     * configuration is permitted while the gateway has a usable link to another gateway that leads.
      */
     Millis m_maxReadyAge{2000};
     /**
--- a/libs/daemon/src/Gateway.cpp
+++ b/libs/daemon/src/Gateway.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** Time that a caller without the header is assumed to wait. */
+/** Time that a caller is assumed to wait if the request has no valid timeout header. */
 constexpr std::int64_t DEFAULT_CALLER_TIMEOUT_MS = 3000;
 
 std::string stripPort(std::string_view host) {
@@ -126,7 +126,7 @@
 }
 
 void Gateway::awaitPendingRequests() {
-    // The last responses may not have been sent completely yet.
+    // Even without pending requests, the last responses may not have been sent completely yet.
     constexpr Millis FLUSH_DELAY{150};
     if (m_pendingRequests == 0) {
         m_loop.callLater(FLUSH_DELAY, [this] { std::exchange(m_onShutDown, [] {})(); });
--- a/libs/daemon/src/GatewaySettings.cpp
+++ b/libs/daemon/src/GatewaySettings.cpp
@@ -70,7 +70,7 @@
             std::max(scale(gracePeriod, DRAIN_SHARE), settings.m_stopListeningDelay);
 }
 
-/** Reads the leases and the settings of the planner. */
+/** Reads the durations of the leases and the settings of the planner. */
 void readSchedule(SettingsFile& file, GatewaySettings& settings) {
     auto& leader = settings.m_core.m_leader;
     const Millis minLease = file.getDuration({"store", "least-lease"}, leader.m_timeToLive,
@@ -79,7 +79,8 @@
             file.getDuration({"store", "leader-lease"}, std::max(leader.m_timeToLive, minLease),
                              MIN_DURATION, MAX_DURATION);
     auto& workers = settings.m_core.m_workers;
-    // Workers shorten longer leases, and a part of the lease elapses before its grant arrives.
+    // Workers shorten leases that exceed their maximum, and a part of the lease elapses before its
+    // grant arrives.
     constexpr double GRANT_SHARE = 0.75;
     const Millis maxLease = file.getDuration({"workers", "longest-hold"},
                                              scale(workers.m_leaseDuration, 1 / GRANT_SHARE),
@@ -107,9 +108,9 @@
 }
 
 /**
- * Derives the polling interval of the evacuations and the start timeout of runs from the bound.
- * Work is no longer placed once the polled list is older than three fifths of the bound; see
- * EvacuationFeed.
+ * Reads the bound, which is the maximum time until an evacuation is enforced. Derives from the
+ * bound the polling interval of the evacuations and the start timeout of runs. Work is no longer
+ * placed once the polled list is older than three fifths of the bound; see EvacuationFeed.
  */
 void readEvacuations(SettingsFile& file, JobControllerSettings& jobs) {
     constexpr double START_SHARE = 0.2;
--- a/libs/http/include/pierbank/http/HttpClient.h
+++ b/libs/http/include/pierbank/http/HttpClient.h
@@ -49,8 +49,8 @@
 /**
  * HTTP client on libsoup. Runs on the main context of GLib.
  *
- * A response with a Content-Length may exceed the timeout of its call by the time that its body, up
- * to 4 MiB of it, takes at 250 bytes per millisecond.
+ * A response with a Content-Length may exceed the timeout of its call by the time that its body
+ * takes at 250 bytes per millisecond. At most 4 MiB of the body are counted.
  */
 class HttpClient {
 public:
--- a/libs/http/include/pierbank/http/HttpServer.h
+++ b/libs/http/include/pierbank/http/HttpServer.h
@@ -37,14 +37,17 @@
 };
 
 /**
- * Pending request. The handler keeps the call until it responds. A call that is destroyed without a
- * response is answered with status 500.
+ * Pending request. The handler owns the call until the response is sent. A call that is destroyed
+ * without a response is answered with status 500.
  */
 class HttpServerCall {
 public:
     virtual ~HttpServerCall() = default;
 
-    /** Sends the response. Has no effect on later calls and after the client has disconnected. */
+    /**
+     * Sends the response. Has no effect if a response was sent before or the client has
+     * disconnected.
+     */
     virtual void answer(const HttpServerAnswer& answer) = 0;
     /** Sets the callback for a client that disconnects before the response. */
     virtual void onDisconnect(std::function<void()> callback) = 0;
@@ -54,7 +57,10 @@
 struct HeadLimits {
     /** Maximum size in bytes. A larger head is answered with status 431. */
     std::size_t m_maxBytes = 16'384;
-    /** Maximum time from the first byte to the end of the head, beyond which status 408 is sent. */
+    /**
+     * Maximum time from the first byte to the end of the head. A slower head is answered with
+     * status 408.
+     */
     Millis m_timeout{5000};
 };
 
--- a/libs/http/src/GuardedStream.cpp
+++ b/libs/http/src/GuardedStream.cpp
@@ -29,7 +29,10 @@
     /** Bytes of the current head that have been read. */
     std::size_t m_headBytes;
     std::size_t m_discardedBytes;
-    /** Timer of the current head, or of the closing after a rejection. */
+    /**
+     * Source id of the timeout of the current head, or of DISCARD_TIMEOUT_MS after a rejection;
+     * zero for none.
+     */
     guint m_timer;
     bool m_isInHead;
     bool m_isRejected;
--- a/libs/http/src/GuardedStream.h
+++ b/libs/http/src/GuardedStream.h
@@ -9,10 +9,11 @@
 namespace pierbank {
 
 /**
- * Creates an input stream for a connection that enforces HeadLimits. libsoup resets a connection
- * whose head is too large, and waits indefinitely for an incomplete head. This stream sends the
- * error response itself. The stream then discards further input for up to a second before it closes
- * the connection, because closing a socket with unread input would discard the response too.
+ * Creates an input stream that reads from a connection and enforces HeadLimits. libsoup resets a
+ * connection whose head is too large, and waits indefinitely for an incomplete head. This stream
+ * sends the error response itself. The stream then discards further input for up to a second before
+ * it closes the connection, because closing a socket with unread input would discard the response
+ * too.
  *
  * The owner marks the heads with beginHead() and endHead(). The stream is a GObject, to be released
  * with g_object_unref().
--- a/libs/http/src/HttpServer.cpp
+++ b/libs/http/src/HttpServer.cpp
@@ -19,7 +19,10 @@
 /** HttpServerCall for a message of libsoup, which stays paused until the response. */
 class SoupCall final : public HttpServerCall, public std::enable_shared_from_this<SoupCall> {
 public:
-    /** @param server expires with the server, which also finishes its messages. */
+    /**
+     * @param server expires when the server is destroyed, which also finishes all messages of the
+     * server.
+     */
     SoupCall(SoupServerMessage* message, std::weak_ptr<bool> server)
             : m_message(message), m_server(std::move(server)) {
         g_object_ref(m_message);
--- a/libs/operators/include/pierbank/operators/AuditTrail.h
+++ b/libs/operators/include/pierbank/operators/AuditTrail.h
@@ -25,8 +25,9 @@
 };
 
 /**
- * Log of who changed what and when. An entry is written to the store in the same transaction as the
- * change itself, so that no change lacks its entry. The newest MAX_ENTRIES entries are retained.
+ * Log of the changes that operators made. An entry is written to the store in the same transaction
+ * as the change itself, so that no change lacks its entry. The newest MAX_ENTRIES entries are
+ * retained.
  */
 class AuditTrail {
 public:
--- a/libs/operators/include/pierbank/operators/DomainTable.h
+++ b/libs/operators/include/pierbank/operators/DomainTable.h
@@ -19,7 +19,10 @@
     std::size_t m_runs = 0;
     /** The platform's operators have requested the evacuation; no run starts in the domain. */
     bool m_isEvacuatedByPlatform = false;
-    /** A statement has requested the evacuation, independently; no run starts in the domain. */
+    /**
+     * A statement has requested the evacuation, independently of the platform; no run starts in the
+     * domain.
+     */
     bool m_isEvacuatedByStatement = false;
 
     bool isEvacuated() const noexcept {
@@ -27,7 +30,10 @@
     }
 };
 
-/** Returns the domains of known workers and all evacuated domains, with workers or not, by name. */
+/**
+ * Returns the domains of known workers and all evacuated domains, including those without workers,
+ * by name.
+ */
 std::map<std::string, DomainSummary> countDomains(const JobController& jobs);
 
 /** Makes the table of `show domains`. */
--- a/libs/operators/include/pierbank/operators/JobBackend.h
+++ b/libs/operators/include/pierbank/operators/JobBackend.h
@@ -14,11 +14,12 @@
 namespace pierbank {
 
 /**
- * Executes operators' statements on the leader. Jobs that operators submit are stored as the jobs
- * of callers are. Queries are answered from the leader's memory. Changes are written to the store
- * in one transaction with their entry in the audit trail, and the controller reads the changes from
- * the store. Organisations, guarantees and queues belong to the platform's configuration:
- * statements that would change them are refused, and the message names the configuration.
+ * Executes operators' statements on the leader. Jobs that operators submit are stored in the same
+ * form as the jobs of callers. Queries are answered from the leader's memory. Changes are written
+ * to the store in one transaction with their entry in the audit trail, and the controller reads the
+ * changes from the store. Organisations, guarantees and queues are defined in the platform's
+ * configuration: statements that would change them are refused, and the message names the
+ * configuration.
  */
 class JobBackend final : public OperatorBackend {
 public:
@@ -56,6 +57,11 @@
      * has no such organisation or queue, or if no worker of the queue's service is known.
      */
     std::optional<JobRecord> makeRecord(const SubmitJob& submit, Reason& reason) const;
+    /**
+     * Returns the policy of the submission's queue, or of the default queue; see
+     * SubmitJob::m_queue. Returns nothing, and sets `reason`, if the organisation or the queue is
+     * unknown.
+     */
     std::optional<QueuePolicy> findQueue(const SubmitJob& submit, Reason& reason) const;
     std::optional<Resources> getMemberDemand(const SubmitJob& submit,
                                              const std::string& service) const;
--- a/libs/operators/include/pierbank/operators/JobTables.h
+++ b/libs/operators/include/pierbank/operators/JobTables.h
@@ -30,7 +30,9 @@
 /** Converts a name made by toHostName() back into an address. */
 std::string toHostAddress(std::string name);
 
-/** Returns the name if the name is a job's id, else the id derived from the name by a hash. */
+/**
+ * Returns a job's id: the name itself if the name has the form of an id, else a hash of the name.
+ */
 std::string toJobId(const std::string& name);
 
 }  // namespace pierbank
--- a/libs/operators/include/pierbank/operators/StatementAnswer.h
+++ b/libs/operators/include/pierbank/operators/StatementAnswer.h
@@ -17,11 +17,17 @@
     DONE,
     /** The statement is valid but was refused, as the message explains. Nothing changed. */
     REFUSED,
-    /** The text is no statement, or names an unknown column. Nothing changed. */
+    /** The text is not a valid statement, or names an unknown column. Nothing changed. */
     INVALID,
-    /** Not executed now or later: no leader, a newer leader, or the store is down. */
+    /**
+     * The statement was not and will not be executed: there is no leader, another gateway leads by
+     * now, or the store is down.
+     */
     NOT_RUN,
-    /** A write's answer was lost, and the change may take effect: query before repeating it. */
+    /**
+     * The answer to a write was lost, and the change may take effect: the operator should query the
+     * state before repeating the statement.
+     */
     UNKNOWN,
 };
 
@@ -37,7 +43,7 @@
 /** Makes an answer without a table; sets the retry delay if the status allows a retry. */
 StatementAnswer makeAnswer(StatementStatus status, std::string message);
 
-/** Makes an answer with the rows that `show` selects; INVALID if it names an unknown column. */
+/** Makes an answer with the rows that `show` selects; INVALID if `show` names an unknown column. */
 StatementAnswer makeTableAnswer(Table table, const Show& show);
 
 using StatementCallback = std::function<void(const StatementAnswer&)>;
--- a/libs/operators/src/AuditTrail.cpp
+++ b/libs/operators/src/AuditTrail.cpp
@@ -19,7 +19,10 @@
 
 namespace {
 
-/** Pads the number with zeros: the store sorts keys as texts, so that entries stay in order. */
+/**
+ * Returns the key of an entry. The number is padded with zeros, so that the store, which sorts keys
+ * as texts, returns the entries in order.
+ */
 std::string makeKey(std::uint64_t number) {
     constexpr std::size_t DIGITS = 12;
     const std::string digits = std::to_string(number);
--- a/libs/operators/src/BackendAnswers.h
+++ b/libs/operators/src/BackendAnswers.h
@@ -10,15 +10,15 @@
 
 namespace pierbank {
 
-/** Returns the job of this name or id; null if there is none. */
+/** Returns the job with this name or id; null if there is no such job. */
 inline const JobEntry* findJob(const JobTable& jobs, const std::string& name) {
     const auto found = jobs.find(toJobId(name));
     return found == jobs.end() ? nullptr : &found->second;
 }
 
 /** Makes a REFUSED answer with this message. */
-inline StatementAnswer refuse(std::string why) {
-    return makeAnswer(StatementStatus::REFUSED, std::move(why));
+inline StatementAnswer refuse(std::string message) {
+    return makeAnswer(StatementStatus::REFUSED, std::move(message));
 }
 
 }  // namespace pierbank
--- a/libs/operators/src/JobBackendSubmit.cpp
+++ b/libs/operators/src/JobBackendSubmit.cpp
@@ -49,9 +49,9 @@
 }
 
 /**
- * Returns a member's demand: the same share of a worker's processors and memory as of its
- * accelerators. The smallest demand over all workers of the service is used; nothing if there is no
- * such worker.
+ * Returns the demand of one member. The member demands the same share of a worker's processors and
+ * memory as of the worker's accelerators. Returns the smallest of the demands computed for all
+ * workers of the service; nothing if no worker of the service has accelerators.
  */
 std::optional<Resources> JobBackend::getMemberDemand(const SubmitJob& submit,
                                                      const std::string& service) const {
@@ -101,7 +101,10 @@
     return record;
 }
 
-/** Returns how the planner would treat the job now; REFUSED if the job can never run. */
+/**
+ * Returns the planner's decision for the job if the job were submitted now; REFUSED if the job can
+ * never run.
+ */
 StatementAnswer JobBackend::describeTrial(const JobRecord& record) const {
     const TaskPlan plan = m_core.getJobs().makeTrialPlan(record);
     std::string text = "would be accepted";
--- a/libs/operators/src/OperatorServer.cpp
+++ b/libs/operators/src/OperatorServer.cpp
@@ -12,7 +12,10 @@
 namespace {
 
 constexpr std::string_view FORWARDED_HEADER = "Pierbank-Forwarded";
-/** Longer than the leader may take for a statement, see AuditTrail::COMMIT_TIMEOUT. */
+/**
+ * Timeout of a forwarded statement. Exceeds the time that the leader may need for a statement; see
+ * AuditTrail::COMMIT_TIMEOUT.
+ */
 constexpr Millis FORWARD_TIMEOUT{6000};
 
 std::string dump(const nlohmann::json& value) {
@@ -49,7 +52,10 @@
     return {status, {{"Content-Type", std::string(type)}}, std::move(body)};
 }
 
-/** Returns whether any gateway can answer: all know the configuration, only the leader the rest. */
+/**
+ * Returns whether any gateway can execute the statement: all gateways have the configuration, but
+ * only the leader has the remaining state.
+ */
 bool isLocal(const Statement& statement) {
     const auto* const show = std::get_if<Show>(&statement);
     return show != nullptr && show->m_subject == Subject::CONFIGURATION;
--- a/libs/operators/src/Table.cpp
+++ b/libs/operators/src/Table.cpp
@@ -18,7 +18,10 @@
     return number;
 }
 
-/** Returns the sign of the order: numeric if both cells are numbers, else by text. */
+/**
+ * Returns a negative number if `a` is before `b`, zero if the cells are equal, else a positive
+ * number. Compares numerically if both cells are numbers, else by text.
+ */
 int compare(const Cell& a, const Cell& b) {
     if (a.m_number.has_value() && b.m_number.has_value()) {
         return (*a.m_number > *b.m_number) - (*a.m_number < *b.m_number);
--- a/libs/statement/include/pierbank/statement/Statement.h
+++ b/libs/statement/include/pierbank/statement/Statement.h
@@ -44,10 +44,13 @@
 struct SubmitJob {
     std::string m_name;
     std::string m_organisation;
-    /** If empty, the queue of the highest priority for urgent jobs, else of the lowest. */
+    /**
+     * Queue of the job. If empty, an urgent job enters the queue of the highest priority, and any
+     * other job the queue of the lowest.
+     */
     std::string m_queue;
     Shape m_shape;
-    /** Declared run time; an hour if the statement gives none. */
+    /** Declared run time; an hour if the statement has no `runtime`. */
     Millis m_runTime{0};
     bool m_isUrgent = false;
     /** The outcome is only reported, and nothing is submitted. */
--- a/libs/statement/src/StatementParser.cpp
+++ b/libs/statement/src/StatementParser.cpp
@@ -13,6 +13,7 @@
 
 using Node = tao::pegtl::parse_tree::node;
 
+/** Returns the first child of type Rule; null if there is no such child. */
 template <typename Rule>
 const Node* findChild(const Node& parent) {
     for (const auto& child : parent.children) {
@@ -23,6 +24,7 @@
     return nullptr;
 }
 
+/** Returns the text of the child with this index among the children of type Rule; else empty. */
 template <typename Rule>
 std::string getText(const Node& parent, std::size_t index = 0) {
     for (const auto& child : parent.children) {
@@ -43,7 +45,10 @@
     return number;
 }
 
-/** Builds statements from the parse tree and checks ranges, which the grammar does not. */
+/**
+ * Builds a statement from the parse tree and checks the ranges of numbers, which the grammar does
+ * not check.
+ */
 class StatementBuilder {
 public:
     ParseResult build(const Node& node) {
--- a/libs/trace/include/pierbank/trace/JobTrace.h
+++ b/libs/trace/include/pierbank/trace/JobTrace.h
@@ -22,7 +22,10 @@
     NOT_ACCEPTED,
     /** Time from the first request to the acceptance. */
     INTAKE,
-    /** Time from the acceptance until a leader read the job, with take-overs before its start. */
+    /**
+     * Time from the acceptance until a leader read the job, including take-overs before the first
+     * placement.
+     */
     LEADER,
     /** Waiting for free capacity, until the first placement. */
     ROOM,
@@ -58,11 +61,13 @@
     Millis m_objective{0};
     /** Number of answers other than 200 to its submissions, by "STATUS REASON". */
     std::map<std::string, std::uint32_t> m_refusals;
-    /** At least one refusal was a 503 or 504, for which the request was not at fault. */
+    /**
+     * At least one refusal had the status 503 or 504, which the request itself cannot have caused.
+     */
     bool m_isTurnedAway = false;
     /** Number of 503 and 504 refusals at about the time when another gateway accepted a job. */
     std::uint32_t m_avoidableRefusals = 0;
-    /** Not accepted, and no gateway reached the store for as long as the caller retried. */
+    /** The job was not accepted, and no gateway reached the store while the caller retried. */
     bool m_wasOutOfReach = false;
     /** Number of runs that were preempted. */
     std::uint32_t m_preemptionCount = 0;
@@ -70,24 +75,33 @@
     double m_wastedCoreSeconds = 0;
     /** Hosts of failed runs, in the order of the failures. */
     std::vector<std::string> m_failedOn;
-    /** What an urgent job waited for, in order of time (`stops`, `ends`, `room`, `workers`). */
+    /**
+     * Reasons for which an urgent job waited, in order of time (`stops`, `ends`, `room`,
+     * `workers`).
+     */
     std::vector<std::string> m_waitReasons;
     /** Time lost by cause: the maximum over the job's tasks. */
     std::array<Millis, CAUSE_COUNT> m_lost{};
 
     /** Returns whether the job finished after its objective; false without an objective. */
     bool isLate() const;
-    /** Returns the cause of most lost time; WORK if no cause lost a notable time. */
+    /**
+     * Returns the cause to which the most lost time is attributed: NOT_ACCEPTED for a job that was
+     * not accepted, and WORK if the lost time of every cause is negligible.
+     */
     Cause getCause() const;
 };
 
 /** Builds the timeline of each job from the log lines of all gateways, given in any order. */
 class JobTrace {
 public:
-    /** @param callerTimeout how long callers retry, which the logs don't show. */
+    /**
+     * @param callerTimeout time for which callers retry a request; the logs don't contain this
+     * time.
+     */
     explicit JobTrace(Millis callerTimeout = Millis(3000)) : m_callerTimeout(callerTimeout) {}
 
-    /** Adds a line. */
+    /** Adds a log line. */
     void take(LogLine line);
     /**
      * Sorts the added lines by time and returns the timelines in the order of the first requests.
@@ -121,7 +135,7 @@
     void handleRunEnd(const LogLine& line, Cause cause);
     void countAvoidableRefusals();
     void updateReachability(const LogLine& line);
-    bool wasOutOfReach(const JobTimeline& story) const;
+    bool wasOutOfReach(const JobTimeline& timeline) const;
     Entry& getEntry(std::string_view id);
 
     /** Interval in which a gateway reached the store. */
--- a/libs/trace/include/pierbank/trace/LogLine.h
+++ b/libs/trace/include/pierbank/trace/LogLine.h
@@ -13,7 +13,8 @@
 
 /**
  * One line of a daemon's log: `[...] [NODE] TIME SEVERITY COMPONENT EVENT KEY=VALUE...`. Words that
- * a log collector adds before the time are ignored, except for the last one, which names the node.
+ * a log collector adds before the time are ignored, except for the last of these words, which names
+ * the node.
  */
 struct LogLine {
     /** Wall time since 1970. */
--- a/libs/trace/src/JobTrace.cpp
+++ b/libs/trace/src/JobTrace.cpp
@@ -9,18 +9,26 @@
 namespace {
 
 constexpr double MILLIS_PER_SECOND = 1000.0;
-/** A job that another gateway accepted within this time shows that the store was reachable. */
+/**
+ * Maximum time between a refusal and an acceptance by another gateway for which the refusal counts
+ * as avoidable: the acceptance shows that the store was reachable.
+ */
 constexpr Millis MAX_ACCEPTANCE_GAP{100};
 
-/** Shorter losses are no cause of lateness: commit, order and start take about 30 ms together. */
+/**
+ * Minimum lost time that counts as a cause of lateness. Commit, order and start take about 30 ms
+ * together.
+ */
 constexpr Millis MIN_NOTABLE_DELAY{200};
 
-/** Returns whether the status is 503 or 504, for which the request was not at fault. */
+/** Returns whether the status is 503 or 504, which the request itself cannot have caused. */
 bool isUnavailable(const LogLine& line) {
     return line.get("status") == "503" || line.get("status") == "504";
 }
 
-/** Returns the id of the job that a line is about, by its job or task; empty for other lines. */
+/**
+ * Returns the job id from the field `job` or `task` of a line; empty if the line has neither field.
+ */
 std::string_view getJobOf(const LogLine& line) {
     const std::string_view job = line.get("job");
     if (!job.empty()) {
@@ -66,7 +74,7 @@
         handleLine(line);
     }
     countAvoidableRefusals();
-    std::vector<JobTimeline> stories;
+    std::vector<JobTimeline> timelines;
     for (auto& [id, entry] : m_entries) {
         for (const auto& [name, task] : entry.m_tasks) {
             for (std::size_t i = 0; i < CAUSE_COUNT; ++i) {
@@ -76,14 +84,14 @@
         }
         if (entry.m_story.m_firstRequestAt.has_value()) {
             entry.m_story.m_wasOutOfReach = wasOutOfReach(entry.m_story);
-            stories.push_back(entry.m_story);
+            timelines.push_back(entry.m_story);
         }
     }
-    std::stable_sort(stories.begin(), stories.end(),
+    std::stable_sort(timelines.begin(), timelines.end(),
                      [](const JobTimeline& a, const JobTimeline& b) {
                          return a.m_firstRequestAt < b.m_firstRequestAt;
                      });
-    return stories;
+    return timelines;
 }
 
 JobTrace::Entry& JobTrace::getEntry(std::string_view id) {
@@ -111,13 +119,16 @@
     } else if (line.is("jobs", "run-ended")) {
         handleRunEnd(line, Cause::RUN_FAILED);
     } else if (line.is("jobs", "over") || line.is("jobs", "withdrawn")) {
-        JobTimeline& story = getEntry(getJobOf(line)).m_story;
-        story.m_phase = line.m_event == "over" ? line.get("phase") : "cancelled";
-        story.m_endedAt = line.m_at;
+        JobTimeline& timeline = getEntry(getJobOf(line)).m_story;
+        timeline.m_phase = line.m_event == "over" ? line.get("phase") : "cancelled";
+        timeline.m_endedAt = line.m_at;
     }
 }
 
-/** Tracks when each gateway reached the store; a gateway that starts is not connected yet. */
+/**
+ * Updates the intervals in which each gateway reached the store. A gateway that starts has not
+ * reached the store yet.
+ */
 void JobTrace::updateReachability(const LogLine& line) {
     m_lastLines[line.m_node] = line.m_at;
     std::vector<ReachableInterval>& intervals = m_reachableIntervals[line.m_node];
@@ -132,11 +143,11 @@
     }
 }
 
-bool JobTrace::wasOutOfReach(const JobTimeline& story) const {
-    if (story.m_acceptedAt.has_value() || !story.m_isTurnedAway) {
+bool JobTrace::wasOutOfReach(const JobTimeline& timeline) const {
+    if (timeline.m_acceptedAt.has_value() || !timeline.m_isTurnedAway) {
         return false;
     }
-    const Millis from = *story.m_firstRequestAt;
+    const Millis from = *timeline.m_firstRequestAt;
     const Millis until = from + m_callerTimeout;
     for (const auto& [node, intervals] : m_reachableIntervals) {
         for (const ReachableInterval& interval : intervals) {
@@ -155,26 +166,27 @@
     if (line.get("method") != "POST") {
         return;
     }
-    JobTimeline& story = getEntry(getJobOf(line)).m_story;
+    JobTimeline& timeline = getEntry(getJobOf(line)).m_story;
     const Millis requestedAt = line.m_at - line.getMillis("took_ms");
-    story.m_firstRequestAt = std::min(story.m_firstRequestAt.value_or(requestedAt), requestedAt);
+    timeline.m_firstRequestAt =
+            std::min(timeline.m_firstRequestAt.value_or(requestedAt), requestedAt);
     if (!line.get("organisation").empty()) {
-        story.m_organisation = line.get("organisation");
+        timeline.m_organisation = line.get("organisation");
     }
     if (!line.get("queue").empty()) {
-        story.m_queue = line.get("queue");
+        timeline.m_queue = line.get("queue");
     }
     if (!line.get("priority").empty()) {
-        story.m_priority = line.get("priority");
+        timeline.m_priority = line.get("priority");
     }
     if (line.get("status") == "200") {
-        story.m_acceptedAt = story.m_acceptedAt.value_or(line.m_at);
-        story.m_lost.at(static_cast<std::size_t>(Cause::INTAKE)) =
-                *story.m_acceptedAt - *story.m_firstRequestAt;
+        timeline.m_acceptedAt = timeline.m_acceptedAt.value_or(line.m_at);
+        timeline.m_lost.at(static_cast<std::size_t>(Cause::INTAKE)) =
+                *timeline.m_acceptedAt - *timeline.m_firstRequestAt;
         return;
     }
-    story.m_isTurnedAway = story.m_isTurnedAway || isUnavailable(line);
-    ++story.m_refusals[std::string(line.get("status")) + " " + std::string(line.get("reason"))];
+    timeline.m_isTurnedAway = timeline.m_isTurnedAway || isUnavailable(line);
+    ++timeline.m_refusals[std::string(line.get("status")) + " " + std::string(line.get("reason"))];
 }
 
 void JobTrace::handleKnown(const LogLine& line) {
@@ -218,7 +230,10 @@
     }
 }
 
-/** Attributes the run's time, and the wait for the next placement, to the cause of its end. */
+/**
+ * Attributes the time of an unsuccessful run, and the wait for the next placement, to the cause of
+ * the run's end.
+ */
 void JobTrace::handleRunEnd(const LogLine& line, Cause cause) {
     Entry& entry = getEntry(getJobOf(line));
     Task& task = entry.m_tasks[std::string(line.get("task"))];
--- a/libs/trace/src/LogLine.cpp
+++ b/libs/trace/src/LogLine.cpp
@@ -58,7 +58,8 @@
 std::optional<LogLine> LogLine::parse(std::string_view text) {
     LogLine line;
     std::optional<Millis> time;
-    // Bounds the words that a log collector adds, with the time and the severity.
+    // Maximum number of words up to the severity: the words that a log collector adds, the time and
+    // the severity.
     constexpr int MAX_WORDS = 6;
     for (int i = 0; i < MAX_WORDS && !text.empty(); ++i) {
         std::string word = extractWord(text);
--- a/tools/command/main.cpp
+++ b/tools/command/main.cpp
@@ -103,7 +103,10 @@
     file->reportUnknownKeys();
 }
 
-/** Executes the statement on each line. Returns the worst exit status. */
+/**
+ * Executes the statement on each line, except for blank lines and lines that begin with `#`.
+ * Returns the worst exit status.
+ */
 CommandExit runLines(GatewayClient& client, std::istream& input, bool asJson) {
     CommandExit worst = CommandExit::DONE;
     std::string line;
@@ -122,7 +125,7 @@
     return prompt;
 }
 
-/** Executes statements interactively. Returns the exit status of the last one. */
+/** Executes statements interactively. Returns the exit status of the last statement. */
 CommandExit runPrompt(GatewayClient& client, bool asJson) {
     constexpr int HISTORY_LINES = 500;
     EditLine* editor = el_init("pierbank", stdin, stdout, stderr);
--- a/tools/trace/main.cpp
+++ b/tools/trace/main.cpp
@@ -34,69 +34,71 @@
 };
 
 /** Returns whether the job was late, failed or not accepted. */
-bool isBad(const JobTimeline& story) {
-    const bool isNotAccepted = !story.m_acceptedAt.has_value() && story.m_isTurnedAway;
-    return isNotAccepted || story.m_phase == "failed" || story.isLate();
+bool isBad(const JobTimeline& timeline) {
+    const bool isNotAccepted = !timeline.m_acceptedAt.has_value() && timeline.m_isTurnedAway;
+    return isNotAccepted || timeline.m_phase == "failed" || timeline.isLate();
 }
 
-void printStory(const JobTimeline& story) {
-    const Millis took = story.m_endedAt.value_or(*story.m_firstRequestAt) - *story.m_firstRequestAt;
+void printTimeline(const JobTimeline& timeline) {
+    const Millis took =
+            timeline.m_endedAt.value_or(*timeline.m_firstRequestAt) - *timeline.m_firstRequestAt;
     std::printf(
             "%s queue=%s organisation=%s priority=%s %s took_ms=%lld objective_ms=%lld%s cause=%s",
-            story.m_id.c_str(), story.m_queue.c_str(), story.m_organisation.c_str(),
-            story.m_priority.c_str(),
-            !story.m_acceptedAt.has_value() ? "not-taken"
-            : story.m_phase.empty()         ? "open"
-                                            : story.m_phase.c_str(),
-            static_cast<long long>(took.count()), static_cast<long long>(story.m_objective.count()),
-            story.isLate() ? " LATE" : "", std::string(toText(story.getCause())).c_str());
+            timeline.m_id.c_str(), timeline.m_queue.c_str(), timeline.m_organisation.c_str(),
+            timeline.m_priority.c_str(),
+            !timeline.m_acceptedAt.has_value() ? "not-taken"
+            : timeline.m_phase.empty()         ? "open"
+                                               : timeline.m_phase.c_str(),
+            static_cast<long long>(took.count()),
+            static_cast<long long>(timeline.m_objective.count()), timeline.isLate() ? " LATE" : "",
+            std::string(toText(timeline.getCause())).c_str());
     for (std::size_t i = 0; i < CAUSE_COUNT; ++i) {
-        if (story.m_lost.at(i) > Millis(0)) {
+        if (timeline.m_lost.at(i) > Millis(0)) {
             std::printf(" %s_ms=%lld", std::string(toText(static_cast<Cause>(i))).c_str(),
-                        static_cast<long long>(story.m_lost.at(i).count()));
+                        static_cast<long long>(timeline.m_lost.at(i).count()));
         }
     }
-    if (story.m_preemptionCount > 0) {
-        std::printf(" evictions=%u work_lost_core_s=%.1f", story.m_preemptionCount,
-                    story.m_wastedCoreSeconds);
+    if (timeline.m_preemptionCount > 0) {
+        std::printf(" evictions=%u work_lost_core_s=%.1f", timeline.m_preemptionCount,
+                    timeline.m_wastedCoreSeconds);
     }
-    for (const std::string& awaited : story.m_waitReasons) {
+    for (const std::string& awaited : timeline.m_waitReasons) {
         std::printf(" waited_for=%s", awaited.c_str());
     }
-    for (const std::string& host : story.m_failedOn) {
+    for (const std::string& host : timeline.m_failedOn) {
         std::printf(" failed_on=%s", host.c_str());
     }
-    for (const auto& [reason, count] : story.m_refusals) {
+    for (const auto& [reason, count] : timeline.m_refusals) {
         std::printf(" refused=%ux\"%s\"", count, reason.c_str());
     }
-    if (story.m_wasOutOfReach) {
+    if (timeline.m_wasOutOfReach) {
         std::printf(" no_gateway_reached_the_store");
     }
-    if (story.m_avoidableRefusals > 0) {
-        std::printf(" refused_while_another_took=%u", story.m_avoidableRefusals);
+    if (timeline.m_avoidableRefusals > 0) {
+        std::printf(" refused_while_another_took=%u", timeline.m_avoidableRefusals);
     }
     std::printf("\n");
 }
 
-void printTotals(const std::vector<JobTimeline>& stories) {
+void printTotals(const std::vector<JobTimeline>& timelines) {
     std::map<Cause, CauseTotals> causes;
     std::uint32_t evictions = 0;
     double lostWork = 0;
     std::uint32_t refusedWhileAccepted = 0;
     std::uint32_t storeUnreachable = 0;
-    for (const JobTimeline& story : stories) {
-        evictions += story.m_preemptionCount;
-        lostWork += story.m_wastedCoreSeconds;
-        refusedWhileAccepted += story.m_avoidableRefusals;
-        storeUnreachable += story.m_wasOutOfReach ? 1 : 0;
-        if (!isBad(story)) {
+    for (const JobTimeline& timeline : timelines) {
+        evictions += timeline.m_preemptionCount;
+        lostWork += timeline.m_wastedCoreSeconds;
+        refusedWhileAccepted += timeline.m_avoidableRefusals;
+        storeUnreachable += timeline.m_wasOutOfReach ? 1 : 0;
+        if (!isBad(timeline)) {
             continue;
         }
-        CauseTotals& line = causes[story.getCause()];
-        line.m_lost += story.m_lost.at(static_cast<std::size_t>(story.getCause()));
-        if (!story.m_acceptedAt.has_value()) {
+        CauseTotals& line = causes[timeline.getCause()];
+        line.m_lost += timeline.m_lost.at(static_cast<std::size_t>(timeline.getCause()));
+        if (!timeline.m_acceptedAt.has_value()) {
             ++line.m_notAccepted;
-        } else if (story.m_phase == "failed") {
+        } else if (timeline.m_phase == "failed") {
             ++line.m_failed;
         } else {
             ++line.m_late;
@@ -114,7 +116,7 @@
             "while another gateway took one: %u; jobs not taken since no gateway reached the store "
             "in "
             "their callers' whole time: %u\n",
-            stories.size(), evictions, lostWork, refusedWhileAccepted, storeUnreachable);
+            timelines.size(), evictions, lostWork, refusedWhileAccepted, storeUnreachable);
 }
 
 std::optional<TraceOptions> readOptions(int argc, char** argv, int& exit) {
@@ -177,7 +179,7 @@
         return exit;
     }
     // Each log is traced separately, because the same job id in two logs means different jobs.
-    std::vector<JobTimeline> stories;
+    std::vector<JobTimeline> timelines;
     for (const std::string& name : options->m_files) {
         std::ifstream file;
         if (name != "-") {
@@ -188,18 +190,18 @@
             std::cerr << "pierbank-trace: " << name << ": no log of a gateway\n";
             return EXIT_USAGE;
         }
-        for (JobTimeline& story : trace.tell()) {
-            stories.push_back(std::move(story));
+        for (JobTimeline& timeline : trace.tell()) {
+            timelines.push_back(std::move(timeline));
         }
     }
-    for (const JobTimeline& story : stories) {
-        const bool isSelected = options->m_job.empty() || story.m_id == options->m_job;
-        if (!options->m_onlyTotals && isSelected && (!options->m_onlyBad || isBad(story))) {
-            printStory(story);
+    for (const JobTimeline& timeline : timelines) {
+        const bool isSelected = options->m_job.empty() || timeline.m_id == options->m_job;
+        if (!options->m_onlyTotals && isSelected && (!options->m_onlyBad || isBad(timeline))) {
+            printTimeline(timeline);
         }
     }
     if (options->m_job.empty()) {
-        printTotals(stories);
+        printTotals(timelines);
     }
     return EXIT_SUCCESS;
 }
