--- a/test/failures/CapacityFailuresTest.cpp
+++ b/test/failures/CapacityFailuresTest.cpp
@@ -3,8 +3,9 @@
  * Failure: more tasks start on a worker than its capacity allows after the capacity has shrunk, for
  * example six tasks of one accelerator on a worker that reports two.
  *
- * Cause: the sidecar reports a heartbeat to the leader only if something has changed. If it
- * compares the incarnation and the draining alone, the leader goes on with the previous capacity.
+ * Cause: the sidecar reports a heartbeat to the leader only if something has changed. If the
+ * sidecar compares only the incarnation and the draining, the leader continues to use the previous
+ * capacity.
  */
 #include <gtest/gtest.h>
 
@@ -86,8 +87,8 @@
 }
 
 /**
- * Six tasks run where two fit. Four stops only make up for the lost capacity; the urgent task needs
- * a fifth.
+ * Six tasks run on a worker whose capacity has shrunk to two. Four stops only compensate for the
+ * lost capacity; the urgent task needs a fifth.
  */
 TEST_F(WorkerWithVaryingCapacity, PreemptsNoMoreRunsThanUrgentWorkNeeds) {
     submitJobs(6, "20000");
@@ -168,7 +169,7 @@
 
 /**
  * A worker that refuses starts for insufficient capacity while its heartbeat is late must not get
- * the same start again and again.
+ * the same start repeatedly.
  */
 TEST_F(WorkerWithVaryingCapacity, GetsFewStartsWhileItRefusesThemForCapacity) {
     getSidecar(0).m_worker->m_refusal = "room";
--- a/test/failures/ConfigurationFailuresTest.cpp
+++ b/test/failures/ConfigurationFailuresTest.cpp
@@ -53,7 +53,7 @@
 }
 
 /**
- * Guards against answers according to two configurations at the same time. A request for the number
+ * Guards against an answer that is based on two different configurations. A request for the number
  * of pending jobs is authorised, and its list of the jobs takes 0.3 s on a link of low bandwidth.
  * If a new configuration comes into force meanwhile, the request must be authorised again before it
  * is answered.
@@ -79,10 +79,10 @@
 }
 
 /**
- * Guards against a gateway whose answers return to an older configuration. While it reads a newer
- * one, which takes a second on a link of low bandwidth, it forwards one request to the leader,
- * which has the newer version. It must not answer the next request by its own older version, even
- * if that was confirmed less than 1.2 s ago.
+ * Guards against a gateway whose answers return to an older configuration. While the gateway reads
+ * a newer version, which takes a second on a link of low bandwidth, it forwards one request to the
+ * leader, which has the newer version. The gateway must not answer the next request by its own
+ * older version, even if that version was confirmed less than 1.2 s ago.
  */
 TEST_F(ConfigurationFailuresTest, AGatewayThatReadsANewerConfigurationDoesNotAnswerByItsOlderOne) {
     const std::size_t index = getFollower();
@@ -112,7 +112,7 @@
             case 2:
                 m_fleet.killGateway(index);
                 m_fleet.startGateway(index);
-                // The check restarts with the new process, which has no version yet.
+                // The new process has no version yet, so the check starts again from zero.
                 seen[index] = 0;
                 break;
             default:
--- a/test/failures/CrashFailuresTest.cpp
+++ b/test/failures/CrashFailuresTest.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 /*
  * Failure: a task that crashes its worker is started on one worker after the other, without limit,
- * and the runs beside it are lost each time.
+ * and all other runs on these workers are lost each time.
  *
  * Cause: a crashed worker reports no end. When its heartbeat names another incarnation, the leader
  * releases the runs of the previous one as lost and places them again. If lost runs don't count
@@ -20,7 +20,7 @@
 
 constexpr const char* ID = "00000000000000a1";
 constexpr const char* SMALL = R"({"count":1,"cpu":1000,"mem_mb":100,"gpu":1,"est_ms":1000})";
-/** Three crashes prove the fault; two more starts may be under way until that is known. */
+/** Three crashes prove the fault; two more starts may be under way before the third is detected. */
 constexpr std::size_t MAX_STARTS = 5;
 
 /** The tests run for workers that return with a new id and with the same one. */
@@ -95,8 +95,8 @@
 }
 
 /**
- * After a crash late in a run it is not known which run caused it; the platform's contract allows
- * five starts.
+ * After a crash late in a run the leader can't determine which run caused the crash; the platform's
+ * contract allows five starts.
  */
 TEST_P(TaskThatCrashesEachWorker, FailsIfItRunsForAWhileBeforeTheCrash) {
     m_fleet.submit(ID, SMALL, "x1500", "/urgent/");
@@ -130,7 +130,7 @@
     EXPECT_EQ(m_fleet.getState(ID), "failed");
 }
 
-/** Without the sidecar's report the loss of the worker and that of the host look alike. */
+/** Without the sidecar's report, a lost worker can't be distinguished from a lost host. */
 TEST_P(TaskThatCrashesEachWorker, FailsIfASidecarIsKilledBeforeItReportsTheCrash) {
     m_fleet.submit(ID, SMALL, "x10", "/urgent/");
     ASSERT_TRUE(waitUntil(Millis(2000), [&] { return countStarts() == 1; }));
@@ -228,7 +228,7 @@
 
 }  // namespace
 
-/** Without the limit the crashes keep some of the ordinary jobs from finishing for minutes. */
+/** Without the limit the crashes prevent some ordinary jobs from finishing for minutes. */
 TEST_P(OrdinaryJobsBesideCrashingOnes, AllSucceedInTenSeconds) {
     submitJobs(20, 3, SMALL);
     EXPECT_LE(measureOrdinary(), Millis(10'000));
--- a/test/failures/DelayedStartsTest.cpp
+++ b/test/failures/DelayedStartsTest.cpp
@@ -3,11 +3,11 @@
  * Failure: a task runs again after its end was persisted, runs on two workers at once, or has one
  * failed run more than its queue allows.
  *
- * Cause: a start gets no answer and is sent again; the second one runs to its end. The worker
- * restarts under the same id, and the delayed first start arrives. The new incarnation has no
- * record of the run, and it has no fence until the sidecar's first call, so it accepts the start.
- * Delays of 150 ms after a broken connection and of 40 ms between refused ones left enough time for
- * that.
+ * Cause: a start gets no answer and is sent again; the second start is carried out, and its run
+ * ends. The worker restarts under the same id, and the delayed first start arrives. The new
+ * incarnation has no record of the run, and it has no fence until the sidecar's first call, so it
+ * accepts the start. The sidecar's delays of 150 ms after a broken connection and of 40 ms between
+ * refused connections left enough time for this sequence.
  */
 #include <gtest/gtest.h>
 
--- a/test/failures/EvacuationFailuresTest.cpp
+++ b/test/failures/EvacuationFailuresTest.cpp
@@ -23,7 +23,7 @@
 constexpr const char* OTHER_ID = "00000000000000b2";
 constexpr const char* WHOLE = R"({"count":1,"cpu":8000,"gpu":8,"est_ms":1000})";
 constexpr const char* SMALL = R"({"count":1,"cpu":1000,"mem_mb":100,"gpu":1,"est_ms":1000})";
-/** Bound that operators rely on: no start this long after the request was acknowledged. */
+/** Bound that operators rely on: no task starts later than this after the acknowledgement. */
 constexpr Millis BOUND{5000};
 
 /** Failure domains `d0` and `d1` with four workers each, two in each rack. */
@@ -245,7 +245,7 @@
     EXPECT_NE(why.m_message.find("since revision"), std::string::npos) << why.m_message;
 }
 
-/** An evacuation is temporary: a job that fits only there is pending, not impossible. */
+/** An evacuation is temporary: a job that fits only in that domain is pending, not impossible. */
 TEST_F(EvacuationTest, AJobThatFitsOnlyThereIsPendingWithAnExplanation) {
     evacuateAndWait("d1");
     const std::string step = R"({"count":1,"cpu":1000,"gpu":1,"est_ms":1000,"requires":"r3"})";
@@ -307,7 +307,7 @@
 
 // Orders that are under way when the request arrives.
 
-/** A lost order is sent again until its run is revoked, which the evacuation must do. */
+/** A lost order is sent again until its run is revoked; the evacuation must revoke it. */
 TEST_F(EvacuationTest, ALostOrderIsNotSentAgain) {
     submitMany(4, WHOLE, "60000");
     bool isLossy = true;
@@ -322,7 +322,7 @@
     isLossy = false;
     m_fleet.m_loop.advance(Millis(9000));
     EXPECT_EQ(countStartsIn("d1", since), 0U);
-    // The task must not wait for a run that never started.
+    // The task must be placed again instead of waiting for a run that never started.
     withdraw("d1");
     m_fleet.m_loop.advance(Millis(3000));
     EXPECT_TRUE(findWorker(taskOf(ID)).has_value());
@@ -499,7 +499,7 @@
         }
     }
 
-    /** Returns the number of starts after the bound, which holds under every fault. */
+    /** Returns the number of starts after BOUND, which must hold under every fault. */
     std::size_t countLateStarts() {
         std::size_t count = 0;
         for (std::size_t i = 0; i < m_fleet.m_sidecars.size(); ++i) {
--- a/test/failures/FollowersTest.cpp
+++ b/test/failures/FollowersTest.cpp
@@ -119,7 +119,7 @@
     EXPECT_EQ(m_fleet.sendRequest(index, "GET", std::string("/batch/") + ID).m_status, 401U);
 }
 
-/** The leader key is free when its lease expires; a long watch must report that. */
+/** The leader key becomes free when its lease expires; a long watch must report this change. */
 TEST_F(FollowersTest, ATerminatedLeaderIsReplacedWhenItsLeaseExpires) {
     m_fleet.m_loop.advance(Millis(15'000));
     m_fleet.killGateway(getLeader());
@@ -134,8 +134,8 @@
 }
 
 /**
- * The age of a gateway's configuration is never less than the time since a newer one was written,
- * under any faults: otherwise a revoked key is accepted for longer than is promised.
+ * The age of a gateway's configuration is never less than the time since a newer version was
+ * written, under any faults: otherwise a revoked key is accepted for longer than is promised.
  */
 TEST_F(FollowersTest, NoGatewayUnderestimatesTheAgeOfItsConfiguration) {
     constexpr int SEEDS = 40;
--- a/test/failures/JobFailuresTest.cpp
+++ b/test/failures/JobFailuresTest.cpp
@@ -274,7 +274,7 @@
     EXPECT_EQ(m_fleet.m_witness.countStarts(taskOf(ID)), 1U);
 }
 
-/** An order that never arrived must be sent again, also while its job has a change under way. */
+/** An order that never arrived must be sent again, even while a write of its job is under way. */
 TEST_F(JobFailuresTest, AnOrderThatATerminatedLeaderNeverSentIsSentByItsSuccessor) {
     m_fleet.m_network.setTap([](const std::string&, const std::string&, const Frame& frame) {
         const auto* const order = std::get_if<RunOrder>(&frame);
@@ -351,7 +351,8 @@
 }
 
 /**
- * All machines except the store lose power at the same time, at several times after the acceptance.
+ * All machines except the store lose power at the same time, at several times after a job was
+ * accepted.
  */
 TEST_F(JobFailuresTest, AJobAcceptedJustBeforeAPowerLossRunsAfterIt) {
     for (int round = 0; round < 12; ++round) {
@@ -381,8 +382,8 @@
 
 /**
  * The run record of a job is corrupt. Guards against a leader that treats the job as not started:
- * its next decision is written on the condition that there is no record, the store refuses it, the
- * leader gives up its leadership, and so does each successor.
+ * the leader writes its next decision on the condition that there is no record, the store refuses
+ * the write, the leader gives up its leadership, and each successor fails in the same way.
  */
 TEST_F(JobFailuresTest, ACorruptRunRecordAffectsNoOtherJobAndNoLeader) {
     m_fleet.submit(ID, SMALL, "60000");
--- a/test/failures/LowBandwidthLinksTest.cpp
+++ b/test/failures/LowBandwidthLinksTest.cpp
@@ -6,9 +6,9 @@
  * Cause: the value of the configuration has a megabyte, which occupies the link for a second. The
  * watch transferred it, and a read transferred it again. Each job submitted meanwhile was written
  * on the condition that the configuration is unchanged; the store refused and returned the new
- * value once more for each job, and all other answers queued behind. The gateway discarded the
- * value in the answers to watches and refused conditions and read it again, and it wrote jobs under
- * a configuration that it had not confirmed.
+ * value once more for each job, and all other answers queued behind these. The gateway discarded
+ * the value in the answers to watches and refused conditions and read it again, and it wrote jobs
+ * under a configuration that it had not confirmed.
  */
 #include <gtest/gtest.h>
 
@@ -24,7 +24,7 @@
 class GatewaysOnLowBandwidthLinks : public JobFleetTest {
 protected:
     void SetUp() override {
-        // In this test the value has some hundred bytes, which this bandwidth makes slow.
+        // The value has only some hundred bytes in this test, hence the very low bandwidth.
         constexpr double LOW_MBPS = 0.004;
         m_fleet.m_linkMbps = LOW_MBPS;
         for (std::size_t i = 0; i < m_fleet.m_gateways.size(); ++i) {
@@ -107,7 +107,7 @@
     expectAllAccepted();
 }
 
-/** The answer to a refused condition contains the newest value, which needs no further read. */
+/** The answer to a refused condition contains the newest value, so no further read is needed. */
 TEST_F(GatewaysOnLowBandwidthLinks, ApplyTheConfigurationFromARefusedCondition) {
     const std::size_t index = getFollower();
     m_fleet.m_storeState.m_configurationReads.clear();
--- a/test/failures/RequestFailuresTest.cpp
+++ b/test/failures/RequestFailuresTest.cpp
@@ -53,8 +53,8 @@
 
 /**
  * Guards against an equal retry delay for urgent and other callers. A gateway that can't confirm
- * its configuration must still determine the queue of a request, since other callers get up to half
- * as much delay in addition.
+ * its configuration must still determine the queue of a request, since other callers get an
+ * additional delay of up to half the retry delay.
  */
 TEST_F(RequestFailuresTest, InALongOutageUrgentCallersGetTheShortestRetryDelay) {
     m_fleet.m_storeState.m_isDown = true;
@@ -129,7 +129,8 @@
     EXPECT_EQ(answer.m_status, 200U) << answer.m_reason;
 }
 
-/** A gateway must not forward the leader's refusal while the outcome of its own write is unknown.
+/**
+ * A gateway must not forward the leader's refusal while the outcome of its own write is unknown.
  */
 TEST_F(RequestFailuresTest, ARefusalByTheLeaderDoesNotRefuseAPendingWrite) {
     m_fleet.m_storeState.m_writesToDelay = 1;
@@ -143,9 +144,10 @@
 }
 
 /**
- * Guards against the answer 401 for a job that runs. The gateway writes the job, loses the answer
- * and then the store, and the operators revoke the key. The leader's 401 is correct for a new
- * request, but must not be forwarded, since the gateway's own write may have taken effect.
+ * Guards against the answer 401 for a job that runs. The gateway writes the job, the answer is
+ * lost, the gateway is cut off from the store, and the operators revoke the key. The leader's 401
+ * is correct for a new request, but must not be forwarded, since the gateway's own write may have
+ * taken effect.
  */
 TEST_F(RequestFailuresTest, ARevokedKeyAtTheLeaderDoesNotRefuseAWriteThatTookEffect) {
     m_fleet.m_storeState.m_answersToLose = 100;
--- a/test/failures/RestartFailuresTest.cpp
+++ b/test/failures/RestartFailuresTest.cpp
@@ -5,8 +5,8 @@
  *
  * Cause: a sidecar that identifies the incarnation by its id alone acknowledges ends with the
  * numbers of the previous one. The new incarnation numbers its ends from 1, so it discards each end
- * at once. The leader misses the run and sends its order again; the worker refuses the order as
- * old, the sidecar reports the run as absent, and the leader starts the task once more.
+ * at once. The leader gets no report of the run and sends its order again; the worker refuses the
+ * order as old, the sidecar reports the run as absent, and the leader starts the task once more.
  *
  * In the logs: `start ... status=refused reason=old` and `run-absent reason=old` for runs that have
  * ended on the worker, without `run-ended` or `worker-crashed`.
@@ -102,7 +102,7 @@
     expectSuccess(0, 8, 2);
 }
 
-/** The answer to a hold reveals the new start time, so that no heartbeat is needed. */
+/** The answer to a hold contains the new start time, so no heartbeat is needed. */
 TEST_F(WorkerRestartsUnderTheSameId, LosesItsActiveRunsBeforeItsFirstHeartbeat) {
     submitJobs(0, 8, "5000");
     m_fleet.m_loop.advance(Millis(300));
@@ -167,8 +167,8 @@
 }
 
 /**
- * A new sidecar that knows only the current incarnation polls the worker to tell which heartbeat is
- * outdated, and reports no crash.
+ * A new sidecar, which has a record of the current incarnation only, polls the worker to determine
+ * which heartbeat is outdated, and reports no crash.
  */
 TEST_F(MessagesOfAPreviousIncarnation, AreNoCrashOfTheCurrentIncarnation) {
     m_fleet.killSidecar(0);
@@ -221,7 +221,7 @@
 
     /**
      * Submits jobs and crashes all workers while the calls are on their way.
-     * @param awayFor how long a worker is away; the delayed calls arrive after `m_delay`.
+     * @param awayFor how long a worker is unavailable; the delayed calls arrive after `m_delay`.
      */
     void submitAndCrash(Millis awayFor, const char* payload) {
         for (auto& sidecar : m_fleet.m_sidecars) {
@@ -247,8 +247,8 @@
 }
 
 /**
- * The delayed start is the first call that the new incarnation receives: the run that it starts is
- * found there and not started elsewhere.
+ * The delayed start is the first call that the new incarnation receives: the run that this call
+ * starts is found on that worker and not started elsewhere.
  */
 TEST_F(CallsToAPreviousIncarnation, StartNoTaskTwiceAsTheFirstCallOfTheNextIncarnation) {
     for (auto& sidecar : m_fleet.m_sidecars) {
@@ -269,8 +269,8 @@
 
 /**
  * A delayed hold extends the lease to a time of the previous incarnation's clock, which is far
- * ahead of the new one. The worker accepts its maximum lease, so the leader must not treat the host
- * as lost before that has expired.
+ * ahead of the new one. The worker limits this extension to its maximum lease, so the leader must
+ * not treat the host as lost before that lease has expired.
  */
 TEST_F(CallsToAPreviousIncarnation, ExtendNoLeaseBeyondTheLeadersEstimate) {
     m_fleet.m_loop.advance(Millis(20'000));
@@ -291,8 +291,8 @@
 }
 
 /**
- * As above, but the sidecar terminates before it has detected the restart, so that nothing tells
- * the leader that the new run is leased on a clock that was reset. Run 2 then started while run 1
+ * As above, but the sidecar terminates before it has detected the restart, so that the leader gets
+ * no report that the new run is leased on a clock that was reset. Run 2 then started while run 1
  * was still running.
  */
 TEST_F(CallsToAPreviousIncarnation, ExtendNoLeaseBeyondItIfTheRestartIsNotDetected) {
--- a/test/failures/RestartSeedsTest.cpp
+++ b/test/failures/RestartSeedsTest.cpp
@@ -4,7 +4,7 @@
  * persisted, or jobs without a fault are reported as failed.
  *
  * These tests combine restarts with all other kinds of fault at random, from a seed, and check all
- * invariants. RestartFailuresTest and DelayedStartsTest cover the single sequences.
+ * invariants. RestartFailuresTest and DelayedStartsTest cover the individual sequences.
  *
  * `PIERBANK_SEEDS=1000:5000` runs the seeds from 1000 to 4999 instead of the default ones.
  */
@@ -69,7 +69,10 @@
         }
     }
 
-    /** Delivers an old heartbeat, or a goodbye of an old incarnation with or without start time. */
+    /**
+     * Delivers an old heartbeat, or a leave message of an old incarnation with or without its
+     * start time.
+     */
     void deliverDelayed(JobFleet& fleet, Random& random) {
         const auto [index, heartbeat] = m_delayedHeartbeats.back();
         m_delayedHeartbeats.pop_back();
@@ -101,7 +104,7 @@
 
 }  // namespace
 
-/** Thirty jobs, of which a third always fail, and a fault each 0.1 to 1.5 s for 25 s. */
+/** Thirty jobs, of which a third always fail, and a fault every 0.1 to 1.5 s for 25 s. */
 TEST_P(RestartsWithOtherFaults, RunNoTaskTwiceAndCountEachFailure) {
     Random random(GetParam());
     JobFleet fleet(3, 4);
@@ -133,8 +136,9 @@
 }
 
 /**
- * Seeds with which a task ran twice: a third attempt of its order started it again, or it was
- * started elsewhere although a delayed start of it was known to be pending.
+ * Seeds with which a task ran twice: the third attempt to carry out its order started the task
+ * again, or the task was started elsewhere although a delayed start of the task was known to be
+ * pending.
  */
 INSTANTIATE_TEST_SUITE_P(Found, RestartsWithOtherFaults,
                          ::testing::Values<std::uint64_t>(950, 1183, 1239));
--- a/test/failures/ScheduleFailuresTest.cpp
+++ b/test/failures/ScheduleFailuresTest.cpp
@@ -25,7 +25,8 @@
         m_fleet.killSidecar(index);
     }
 
-    /** Time until a lost worker's runs have stopped: lease, then clock slack, then tick and stop.
+    /**
+     * Time until a lost worker's runs have stopped: lease, then clock slack, then tick and stop.
      */
     static constexpr Millis LEASE_BOUND{4500 + 200 + 400};
 };
@@ -166,7 +167,10 @@
                           [&] { return m_fleet.m_witness.countStarts(taskOf(ID)) == 2; }));
 }
 
-/** A leader renews leases without the store, but no longer than a successor waits for the hosts. */
+/**
+ * A leader renews leases without the store, but stops before its successor has finished waiting
+ * for the hosts.
+ */
 TEST_F(ScheduleFailuresTest,
        ALeaderCutOffForLongStopsGrantingLeasesBeforeItsSuccessorPlacesItsRuns) {
     m_fleet.submit(ID, WHOLE, "90000");
@@ -175,7 +179,7 @@
     const auto held = findWorker(taskOf(ID));
     ASSERT_TRUE(held.has_value());
     m_fleet.m_storeState.m_cutOff.insert(m_fleet.m_gateways[old].m_name);
-    // The worker stays connected to the old leader only: the successor can reach neither.
+    // The worker stays connected to the old leader only: the successor can reach neither of them.
     for (std::size_t i = 0; i < m_fleet.m_gateways.size(); ++i) {
         if (i != old) {
             m_fleet.m_network.cut(m_fleet.m_gateways[i].m_name, getSidecar(*held).m_name);
@@ -246,7 +250,7 @@
             m_fleet.m_gateways[getLeader()].m_core->getJobs().getStatistics();
     const std::uint64_t before = figures.m_plans;
     m_fleet.m_loop.advance(Millis(10'000));
-    // One plan each 500 ms. A plan each 100 ms and for each report would make 140.
+    // One plan every 500 ms. A plan every 100 ms and for each report would result in 140 plans.
     EXPECT_LE(figures.m_plans - before, 21U);
 }
 
@@ -260,7 +264,8 @@
     ASSERT_EQ(m_fleet.submit(urgent, WHOLE, "1000", "/urgent/", getFollower()).m_status, 200U);
     const Millis accepted = m_fleet.m_loop.now();
     ASSERT_TRUE(waitUntil(Millis(5000), [&] { return countMembers(urgent, 1) == 1; }));
-    // One write, which places the task. Writing the stop before sending it takes a second one.
+    // One write places the task. If the stop were written before it is sent, a second write would
+    // be needed.
     EXPECT_LE(m_fleet.m_loop.now() - accepted, LATENCY + STOP);
 }
 
--- a/test/failures/SlidingWindowsTest.cpp
+++ b/test/failures/SlidingWindowsTest.cpp
@@ -15,7 +15,7 @@
 constexpr const char* ID = "00000000000000a1";
 constexpr std::uint32_t TASKS = 6;
 constexpr std::size_t MAX_UNAVAILABLE = 2;
-/** How long a stopped task counts as unavailable: the default of the settings. */
+/** Time for which a stopped task counts as unavailable; the default in the settings. */
 constexpr Millis UNAVAILABLE_TIME{5000};
 
 /** A step of six long-running tasks on three failure domains; two may be unavailable at a time. */
--- a/test/failures/StepFeaturesTest.cpp
+++ b/test/failures/StepFeaturesTest.cpp
@@ -153,7 +153,7 @@
     submitLongRunning(ID, serving, "serve");
     const auto index = findWorker(taskOf(ID));
     ASSERT_TRUE(index.has_value());
-    // The processors of a filling task don't count, so both fit on one worker.
+    // The processors of a filling task don't count, so both tasks fit on one worker.
     submitLongRunning(OTHER_ID, filling, "fill");
     ASSERT_EQ(findWorker(taskOf(OTHER_ID)), index);
     auto& worker = *getSidecar(*index).m_worker;
@@ -188,7 +188,7 @@
 }
 
 TEST_F(StepFeaturesTest, ALongRunningTaskIsRestartedAfterEachEnd) {
-    // Long-running tasks have no limit of failed runs.
+    // The number of failed runs of a long-running task is not limited.
     m_fleet.m_witness.m_attempts = 0;
     submitLongRunning(ID, R"({"count":1,"cpu":1000,"gpu":1,"long_running":true})", "!300");
     m_fleet.m_loop.advance(Millis(2000));
--- a/test/failures/SuspensionTest.cpp
+++ b/test/failures/SuspensionTest.cpp
@@ -27,7 +27,7 @@
 struct Suspension {
     Target m_target;
     Phase m_phase;
-    /** Length; compare with the leases of the leader key (1 s) and of a worker (4.5 s). */
+    /** Shorter or longer than the leases of the leader key (1 s) and of a worker (4.5 s). */
     Millis m_duration;
 };
 
@@ -119,14 +119,14 @@
 
 /**
  * The gateway that received the request, which may be the leader, is suspended at several times
- * before its answer.
+ * before it answers.
  */
 TEST_F(SuspensionTest, AGatewaySuspendedBeforeItsAnswerAnswersCorrectly) {
     int number = 10;
     for (const Millis delay : {Millis(0), Millis(1), Millis(2), Millis(4), Millis(8)}) {
         for (const Millis time : {Millis(600), Millis(3000), Millis(12'000)}) {
             const std::string id = "00000000000000" + std::to_string(++number);
-            const std::size_t asked = static_cast<std::size_t>(number) % 3;
+            const std::size_t receiver = static_cast<std::size_t>(number) % 3;
             IntakeRequest request;
             request.m_method = "POST";
             request.m_host = JobFleet::HOST;
@@ -134,10 +134,10 @@
             request.m_body = std::string(R"({"spec":"300","steps":[)") + SMALL + "]}";
             request.m_key = JobFleet::KEY;
             const auto answer = std::make_shared<std::optional<IntakeAnswer>>();
-            m_fleet.m_gateways[asked].m_core->getIntake().handle(
+            m_fleet.m_gateways[receiver].m_core->getIntake().handle(
                     request, [answer](const IntakeAnswer& got) { *answer = got; });
             m_fleet.m_loop.advance(delay);
-            suspend({m_fleet.m_gateways[asked].m_loop.get()}, time);
+            suspend({m_fleet.m_gateways[receiver].m_loop.get()}, time);
             ASSERT_TRUE(waitUntil(Millis(10'000), [&] { return answer->has_value(); }));
             ASSERT_TRUE(m_fleet.waitForLeader(Millis(10'000)));
             m_fleet.m_loop.advance(Millis(6000));
@@ -152,8 +152,10 @@
     }
 }
 
-/** The worker's clock stopped with the machine, so its own lease would let the run go on for
- * seconds. */
+/**
+ * The worker's clock stopped while the machine was suspended, so by the worker's own lease the run
+ * would continue for seconds.
+ */
 TEST_F(SuspensionTest, RunsOfASuspendedHostAreStoppedWhenItResumes) {
     m_fleet.submit(ID, SMALL, "60000");
     m_fleet.m_loop.advance(Millis(450));
@@ -179,7 +181,7 @@
     // A leader assumes runs that it has just found on a host to be leased for up to 6.2 s more.
     fleet.m_loop.advance(Millis(8000));
     fleet.submit(ID, SMALL, "12000");
-    // The same holds for ordered runs until a report has confirmed them, within a second.
+    // The same assumption applies to ordered runs until a report confirms them, within a second.
     fleet.m_loop.advance(Millis(1500));
     for (auto& sidecar : fleet.m_sidecars) {
         if (sidecar.m_worker->countRunning() > 0) {
--- a/test/failures/TakeOverTest.cpp
+++ b/test/failures/TakeOverTest.cpp
@@ -51,10 +51,10 @@
 }  // namespace
 
 /**
- * Guards against a leadership that changes each second or two on slow hosts. A new leader that
+ * Guards against a leadership that changes every second or two on slow hosts. A new leader that
  * opens links to all workers at once is busy with their answers for longer than its lease of 1 s,
- * renews too late, and the next gateway does the same. In the logs of the gateways "acquired" and
- * "lost ... the lease has lapsed" then alternate.
+ * renews the lease too late, and the next leader has the same problem. In the logs of the gateways
+ * "acquired" and "lost ... the lease has lapsed" then alternate.
  */
 TEST_F(LeadersOnSlowHosts, KeepTheLeadershipWhileLinkingTheirWorkers) {
     EXPECT_LE(listEpochs(Millis(10'000)).size(), 1U);
--- a/test/failures/WorkerFailuresTest.cpp
+++ b/test/failures/WorkerFailuresTest.cpp
@@ -85,9 +85,9 @@
 }
 
 /**
- * Guards against urgent jobs that are late one after the other on a hanging worker, which answers
- * while its runs are stalled. The leader stopped the stalled run and with it lost the only evidence
- * against the worker, so it placed the next urgent job there at once.
+ * Guards against a hanging worker, which answers calls while its runs are stalled, that delays one
+ * urgent job after the other. The leader stopped the stalled run, which was the only evidence of
+ * the fault, and so placed the next urgent job on that worker at once.
  */
 class HangingWorker : public WorkerFailuresTest {
 protected:
@@ -136,7 +136,7 @@
     EXPECT_NE(index, m_hanging);
 }
 
-/** A job whose declared time is far too short must not be restarted without limit. */
+/** A job with a declared run time that is far too short must not be restarted without limit. */
 TEST_F(WorkerFailuresTest, ARunThatStallsOnEachHostIsMovedTwiceOnly) {
     for (auto& sidecar : m_fleet.m_sidecars) {
         sidecar.m_worker->m_areRunsStalled = true;
@@ -150,7 +150,9 @@
     EXPECT_TRUE(m_fleet.m_witness.isRunning(taskOf(OTHER_ID))) << "it blocks no host";
 }
 
-/** Progress has a resolution of one percent, so a long run must not count as stalled between two.
+/**
+ * Progress is reported in steps of one percent; a long run must not count as stalled between two
+ * steps.
  */
 TEST_F(WorkerFailuresTest, LongRunsAreNotStalledBetweenTwoPercentsOfProgress) {
     constexpr const char* LONG =
@@ -178,8 +180,8 @@
 }
 
 /**
- * A sidecar that reported the run as absent before its worker's first heartbeat let the leader
- * place other runs there, which the worker refused for insufficient capacity.
+ * Guards against a sidecar that reports a run as absent before its worker's first heartbeat. The
+ * leader then placed other runs on the worker, which refused them for insufficient capacity.
  */
 TEST_F(WorkerFailuresTest, ASidecarWithoutAHeartbeatReportsNoRunAsAbsent) {
     m_fleet.submit(ID, SMALL, "60000");
@@ -211,7 +213,7 @@
     EXPECT_FALSE(m_fleet.m_witness.isRunning(taskOf(OTHER_ID)));
 }
 
-/** The sidecar renews its own lease, so the runs counted as running after the worker was lost. */
+/** The sidecar still renewed its lease, so runs counted as running although the worker was lost. */
 TEST_F(WorkerFailuresTest, AnUnresponsiveWorkerWithARunningSidecarIsLost) {
     m_fleet.submit(ID, SMALL, "2000");
     m_fleet.m_loop.advance(Millis(300));
@@ -224,8 +226,8 @@
 
 /**
  * A worker that refuses connections has crashed: the sidecar reports it to the leader at once. The
- * timeout of 3 s is for workers that don't answer, which may only be slow. With that timeout for
- * both, urgent jobs were placed on crashed workers and started seconds late.
+ * timeout of 3 s is for workers that don't answer, which may only be slow. When that timeout
+ * applied to both cases, urgent jobs were placed on crashed workers and started seconds late.
  */
 TEST_F(WorkerFailuresTest, AWorkerThatRefusesConnectionsGetsNoNewWork) {
     m_fleet.submit(ID, SMALL, "60000");
--- a/test/soak/Callers.h
+++ b/test/soak/Callers.h
@@ -42,11 +42,11 @@
 private:
     /** Schedules the next submission after a random pause. */
     void scheduleSubmission();
-    /** Draws a job and submits it; one job in six is cancelled later. */
+    /** Creates a random job and submits it; one job in six is cancelled later. */
     void submitOne();
     /** Sends the POST of a job to a random gateway; `tries` counts from 1. */
     void send(const std::string& id, unsigned tries);
-    /** Records the status of a POST (0: no response) and schedules a retry if one is due. */
+    /** Records the status of a POST (0: no response) and schedules a retry if necessary. */
     void handleSubmitResult(const std::string& id, unsigned tries, std::uint32_t status);
     /** Schedules the next round of polls and of probes with revoked keys. */
     void schedulePolling();
@@ -74,7 +74,7 @@
     /** Request bodies by job id; a retry sends the same body. */
     std::map<std::string, std::string> m_bodies;
     bool m_isStopped = false;
-    /** Number of the next job; its id is made from it. */
+    /** Number of the next job, from which makeId() forms the job's id. */
     std::uint64_t m_nextNumber = 1;
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
 };
--- a/test/soak/ChildProcess.cpp
+++ b/test/soak/ChildProcess.cpp
@@ -49,7 +49,7 @@
     arguments.push_back(nullptr);
     GSubprocessLauncher* const launcher =
             g_subprocess_launcher_new(G_SUBPROCESS_FLAGS_STDERR_MERGE);
-    // O_APPEND keeps the log of earlier starts of the same process.
+    // O_APPEND preserves the log of earlier starts of the same process.
     constexpr int LOG_MODE = 0600;
     g_subprocess_launcher_take_stdout_fd(
             launcher, open(m_logPath.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, LOG_MODE));
--- a/test/soak/FaultPlan.h
+++ b/test/soak/FaultPlan.h
@@ -52,7 +52,7 @@
     WORKER_RESTART,
     /** The worker answers nothing; its runs continue until their lease expires. */
     WORKER_SILENT,
-    /** The worker's runs stall while its heartbeats look healthy. */
+    /** The worker's runs stall while its heartbeats report no fault. */
     WORKER_HANGS,
     /** The worker's runs take several times as long. */
     WORKER_SLOW,
@@ -74,7 +74,8 @@
 struct Fault {
     /** Time of the injection, from the start of the soak. */
     Millis m_at{0};
-    /** Time until the fault heals. It has no effect on kinds with nothing to undo, such as a kill.
+    /**
+     * Time until the fault heals. Without effect for kinds with nothing to undo, such as a kill.
      */
     Millis m_duration{0};
     FaultKind m_kind = FaultKind::GATEWAY_KILL;
@@ -89,15 +90,15 @@
  * Returns a random schedule of faults, ordered by time. Faults come in series of one to three and
  * may overlap. The same seed gives the same schedule.
  * @param length no series starts after this time.
- * @param kinds names of the kinds to include; empty for all. Other faults of the schedule are left
- * out and those that stay do not change.
+ * @param kinds names of the kinds to include; empty for all. Faults of other kinds are omitted from
+ * the schedule; the remaining faults do not change.
  */
 std::vector<Fault> drawFaults(std::uint64_t seed, Millis length,
                               const std::vector<std::string>& kinds);
 
 /**
- * Returns a random schedule of requests to evacuate failure domains. The requests use a random
- * sequence of their own, so that a seed gives the same faults with and without them.
+ * Returns a random schedule of requests to evacuate failure domains. The requests use a separate
+ * random sequence, so that a seed gives the same faults with and without evacuations.
  */
 std::vector<Fault> drawEvacuations(std::uint64_t seed, Millis length);
 
--- a/test/soak/LoopbackProxy.h
+++ b/test/soak/LoopbackProxy.h
@@ -26,14 +26,14 @@
     LoopbackProxy(const LoopbackProxy&) = delete;
     LoopbackProxy& operator=(const LoopbackProxy&) = delete;
 
-    /** Accepts connections at the address. @return false, with a reason, if that fails. */
+    /** Accepts connections at the address. @return false, with a reason, if listening fails. */
     bool listen(const Address& address, Reason& reason);
 
     /** Sets the delay of each block of bytes; zero for none. */
     void setDelay(Millis delay) { m_delay = delay; }
     /**
      * While silent, the proxy forwards nothing: open connections stay open, and new connections are
-     * accepted and hang. The end of the silence forwards what was blocked.
+     * accepted and hang. Blocked bytes are forwarded when the silence ends.
      */
     void setSilent(bool isSilent);
     /** Closes all open connections with a TCP reset. */
@@ -50,7 +50,7 @@
     void connect(GSocketConnection* caller);
     /** Reads the next block in one direction and forwards it after the delay. */
     void read(const PipePtr& pipe, Direction& direction);
-    /** Writes the block that was read, or keeps it blocked while the proxy is silent. */
+    /** Writes the block that was read, or leaves it in the buffer while the proxy is silent. */
     void forward(const PipePtr& pipe, Direction& direction);
     /** Closes both connections of a pipe. */
     void close(const PipePtr& pipe);
--- a/test/soak/Promises.h
+++ b/test/soak/Promises.h
@@ -30,10 +30,12 @@
     bool m_isCancelRequested = false;
     /** A final state was reported to the caller. */
     bool m_isReportedFinished = false;
-    /** The most recent state that was reported, and when. */
+    /** The most recent state that was reported, and the time of that report. */
     std::string m_lastState;
     Millis m_lastStateAt{0};
-    /** Since when only some members of the gang run; zero if all or none run. */
+    /**
+     * Time since which only some members of the gang have been running; zero if all or none run.
+     */
     Millis m_partialSince{0};
 };
 
@@ -59,8 +61,8 @@
     static constexpr Millis MAX_PARTIAL_GANG_TIME{15'000};
     /**
      * Time after the request for an evacuation from which on no run may start in the failure
-     * domain: the bound that operators rely on plus the longest time for which a fault can keep a
-     * process from receiving the request.
+     * domain: the bound that operators rely on plus the longest time for which a fault can prevent
+     * a process from receiving the request.
      */
     static constexpr Millis MAX_EVACUATION_DELAY{11'000};
 
@@ -68,7 +70,7 @@
     struct Evacuation {
         std::string m_domain;
         Millis m_since{0};
-        /** When the request was withdrawn; nothing while it is active. */
+        /** Time when the request was withdrawn; nothing while the request is active. */
         std::optional<Millis> m_until;
     };
     /** The start of a run on a worker of a failure domain. */
@@ -115,7 +117,10 @@
                           const std::vector<Start>& starts);
     /** True if every accepted job is reported as finished and no job has a run on a worker. */
     bool isSettled() const;
-    /** Makes the final checks, after the faults have healed and the jobs finished or timed out. */
+    /**
+     * Makes the final checks. Called after all faults have healed and the jobs have finished or
+     * timed out.
+     */
     void finish();
 
     const std::vector<Breach>& getBreaches() const { return m_breaches; }
--- a/test/soak/Soak.cpp
+++ b/test/soak/Soak.cpp
@@ -27,7 +27,7 @@
 constexpr std::size_t GROUP_SIZE = 100;
 /**
  * Longest time for jobs to finish after all faults have healed. It covers leases and grace periods
- * that have to lapse before lost runs are started again.
+ * that have to expire before lost runs are started again.
  */
 constexpr Millis SETTLE_TIMEOUT{60'000};
 
@@ -135,7 +135,7 @@
     return true;
 }
 
-/** The previous key is no longer listed and thereby revoked. */
+/** The new configuration does not list the previous key, which is thereby revoked. */
 void Soak::configure() {
     const std::string key = "key-" + std::to_string(++m_version);
     const auto route = [](const char* name, int priority) {
--- a/test/soak/Soak.h
+++ b/test/soak/Soak.h
@@ -24,8 +24,8 @@
     std::size_t m_gateways = 3;
     std::size_t m_workers = 4;
     /**
-     * Requests and withdraws the evacuation of failure domains during the soak. Failure domains
-     * have two workers each then, otherwise four.
+     * Requests and withdraws the evacuation of failure domains during the soak. Each failure domain
+     * has two workers with this option and four without.
      */
     bool m_evacuates = false;
     /**
@@ -41,7 +41,7 @@
     std::string m_folder;
     /** First port of the range on loopback. */
     std::uint16_t m_basePort = 21'000;
-    /** Does not print the faults. */
+    /** Whether to omit the faults from the output. */
     bool m_isQuiet = false;
 };
 
@@ -56,7 +56,8 @@
 
     /**
      * Runs the soak to its end.
-     * @return the violations of promises; a single one about `soak` if it could not be started.
+     * @return the violations of promises; if the soak could not be started, a single violation with
+     * the subject `soak`.
      */
     std::vector<Breach> run();
     /** Number of jobs that were submitted. */
@@ -128,7 +129,10 @@
     std::vector<Promises::Evacuation> m_evacuations;
     /** Version of the configuration that was written last. */
     std::uint64_t m_version = 0;
-    /** Restarts of workers with m_keepsIds; determines the form of the next one. */
+    /**
+     * Number of restarts of workers with m_keepsIds; determines the RestartForm of the next
+     * restart.
+     */
     unsigned m_restarts = 0;
     /** All faults have healed; pending calls of heal() have no effect. */
     bool m_isHealed = false;
--- a/test/soak/main.cpp
+++ b/test/soak/main.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // pierbank-soak: runs real processes, injects random faults from a seed and checks the promises
-// that docs/SOAK.md lists. Exits with 0 if all hold, 1 if one was broken and 2 for wrong usage.
+// that docs/SOAK.md lists. Exits with 0 if all promises hold, 1 if a promise was broken and 2 for
+// wrong usage.
 #include <boost/program_options.hpp>
 #include <cstdlib>
 #include <filesystem>
@@ -37,7 +38,8 @@
     }
 }
 
-/** Prints the violations, each with the log lines that name its subject. @return the exit status.
+/**
+ * Prints the violations, each with the log lines that contain its subject. Returns the exit status.
  */
 int report(const Soak& soak, const std::vector<Breach>& breaches) {
     for (const Breach& breach : breaches) {
--- a/test/soak/mutants.sh
+++ b/test/soak/mutants.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Does the soak find what it looks for? One mechanism at a time is switched off in a patched copy,
-# and seeds are played until a promise is seen to break (docs/SOAK.md).
+# Checks that the soak detects broken promises: disables one mechanism at a time in a patched copy
+# of the sources and runs the soak with several seeds until it reports a violation (docs/SOAK.md).
 #   test/soak/mutants.sh [NAME...]      default: all
 set -euo pipefail
 cd "$(dirname "$0")/../.."
@@ -12,7 +12,7 @@
 readonly PORTS_A_SOAK=1200
 readonly FIRST_PORT=20000
 
-# The sources as they are; what the last mutant changed has to be built again.
+# Copies the unpatched sources. The file that the previous mutant changed has to be built again.
 copy_sources() {
     mkdir -p "$COPY/src"
     git ls-files -z -- libs platform test tools config bench fuzz CMakeLists.txt |
@@ -22,7 +22,7 @@
     fi
 }
 
-# replace FILE FROM TO : FROM must stand there exactly once.
+# replace FILE FROM TO : replaces FROM by TO. FROM must occur in the file exactly once.
 replace() {
     echo "$1" >"$COPY/mutated"
     python3 - "$COPY/src/$1" "$2" "$3" <<'PYTHON'
@@ -34,7 +34,7 @@
 PYTHON
 }
 
-# mutate NAME : switches the mechanism off.
+# mutate NAME : disables the mechanism. The comment of each case names the promise that breaks.
 mutate() {
     soak_options=()
     case $1 in
@@ -82,14 +82,14 @@
     ninja -C "$COPY/build" --quiet pierbank-gateway pierbank-sidecar pierbank-soak
 }
 
-# soak SEED SLOT : plays one seed; leaves its report.
+# soak SEED SLOT : runs the soak with one seed and writes its report to a file.
 soak() {
     "$COPY/build/test/pierbank-soak" --seed "$1" --for "$LENGTH" --quiet "${soak_options[@]}" \
         --tools "$COPY/build/tools" --logs "$COPY/logs/$1" \
         --base-port $((FIRST_PORT + $2 * PORTS_A_SOAK)) >"$COPY/report-$1" 2>&1 || true
 }
 
-# hunt NAME : the seeds, some at once, until a promise breaks.
+# hunt NAME : runs the seeds, several at once, until a promise breaks.
 hunt() {
     local seed batch slot
     rm -f "$COPY"/report-*
--- a/test/support/FakeAdvisor.h
+++ b/test/support/FakeAdvisor.h
@@ -11,8 +11,8 @@
 namespace pierbank::testing {
 
 /**
- * Placement advice of a test: grants the ticket `ticket-ID` to each worker whose id is in
- * m_allowed, after a fixed latency.
+ * Placement advice service for tests: answers each call after a fixed latency and grants the ticket
+ * `ticket-ID` to each worker whose id is in m_allowed.
  */
 class FakeAdvisor final : public Advisor {
 public:
@@ -40,7 +40,7 @@
 
     /** Ids of the workers that get a ticket. */
     std::set<std::string> m_allowed;
-    /** Whether the service is down: each call fails when its timeout ends. */
+    /** Whether the service is down: each call then fails at the end of its timeout. */
     bool m_isDown = false;
     /** Number of calls so far. */
     std::size_t m_requestCount = 0;
--- a/test/support/FakeMachineFleet.h
+++ b/test/support/FakeMachineFleet.h
@@ -12,8 +12,8 @@
 namespace pierbank::testing {
 
 /**
- * Machines of a test. Upkeep takes two seconds; a test restarts the machine's worker through
- * m_onUpkeepStart.
+ * Simulated machines. Upkeep of a machine takes two seconds; a test that needs the machine's worker
+ * to restart does so in m_onUpkeepStart.
  */
 class FakeMachineFleet final : public MachineFleet {
 public:
@@ -44,7 +44,7 @@
     bool m_isDown = false;
     /** Whether every upkeep order is refused as BUSY. */
     bool m_isBusy = false;
-    /** Number of next upkeep orders that are carried out but answered as UNKNOWN. */
+    /** Number of subsequent upkeep orders that are carried out but answered as UNKNOWN. */
     unsigned m_answersToLose = 0;
     /** Called with a machine's name when its upkeep starts. */
     std::function<void(const std::string&)> m_onUpkeepStart = [](const std::string&) {
@@ -53,7 +53,7 @@
 private:
     static constexpr Millis LATENCY{5};
 
-    /** Starts the upkeep unless the machine has already had it; BUSY if it isn't up. */
+    /** Starts the upkeep unless the machine has already had it; BUSY if the machine isn't up. */
     MachineOrderStatus startUpkeep(const UpkeepOrder& order) {
         Machine& machine = m_machines[order.m_machine];
         if (m_completedOrders.count(order.m_machine) != 0) {
--- a/test/support/FakeRecordStore.h
+++ b/test/support/FakeRecordStore.h
@@ -16,8 +16,9 @@
 namespace pierbank::testing {
 
 /**
- * The platform's store as all processes of a test share it: items, leases, history, and the faults
- * that a test injects. Owned by the test; each process calls it through its FakeRecordStore.
+ * State of the platform's store, shared by all processes of a test: items, leases, history, and the
+ * faults that the test injects. Owned by the test; each process accesses it through its own
+ * FakeRecordStore.
  */
 class FakeStoreState {
 public:
@@ -27,9 +28,9 @@
     bool m_isDown = false;
     /** Names of processes whose calls have no effect and end as UNKNOWN. */
     std::set<std::string> m_cutOff;
-    /** Number of next transactions that take effect but get no answer. */
+    /** Number of subsequent transactions that take effect but get no answer. */
     unsigned m_answersToLose = 0;
-    /** Number of next transactions that get no answer and take effect after m_writeDelay. */
+    /** Number of subsequent transactions that get no answer and take effect after m_writeDelay. */
     unsigned m_writesToDelay = 0;
     Millis m_writeDelay{3000};
     /** Latency of each call. */
@@ -46,13 +47,15 @@
     std::map<std::string, Millis> m_busyUntil;
     /** Number of answers per process that contained the value of the configuration. */
     std::map<std::string, unsigned> m_configurationReads;
-    /** Maximum additional latency; it varies from call to call, so that answers are reordered. */
+    /**
+     * Maximum additional latency. The actual one varies from call to call and so reorders answers.
+     */
     Millis m_jitter{0};
     /** Whether watches report no events. */
     bool m_dropsWatchEvents = false;
     /** Watches that start before this revision fail with HISTORY_COMPACTED. */
     StoreRevision m_historyStart = 0;
-    /** Lists of a prefix that get no answer, and how many of the next ones. */
+    /** The next `m_count` calls that list `m_prefix` get no answer. */
     struct LostLists {
         std::string m_prefix;
         unsigned m_count = 0;
@@ -65,7 +68,10 @@
     /** Number of transactions that took effect. */
     std::uint64_t m_commits = 0;
 
-    /** Applies a transaction if its conditions hold; CONFLICT with the current items otherwise. */
+    /**
+     * Applies a transaction if its conditions hold; otherwise returns CONFLICT with the current
+     * items.
+     */
     StoreCommit apply(const StoreTransaction& transaction);
     /** Writes a key as the platform's operators do, without a condition. Returns the revision. */
     StoreRevision put(const std::string& key, const std::string& value);
@@ -85,7 +91,7 @@
     bool renewLease(StoreLease lease);
     /** Removes a lease with its keys; does nothing if it doesn't exist. */
     void endLease(StoreLease lease);
-    /** Ends the leases whose time is over and removes their keys. */
+    /** Ends the leases that have expired and removes their keys. */
     void removeLapsedLeases();
     /** Ends all leases at once. */
     void expireAllLeases();
@@ -129,7 +135,7 @@
 private:
     void countCall() { ++m_state.m_callCounts[m_process]; }
     /**
-     * Calls `answer` when the process's link has transferred it.
+     * Calls `answer` when the process's link has transferred the answer.
      * @param bytes size of the configuration values in the answer.
      */
     void deliverAnswer(std::size_t bytes, std::function<void()> answer);
--- a/test/support/FakeTaskWorker.cpp
+++ b/test/support/FakeTaskWorker.cpp
@@ -163,7 +163,7 @@
     run.m_startedAt = m_loop.now();
     run.m_endsAt = m_loop.now() + (lasts ? FOR_EVER : length * m_slowness);
     if (!start.m_checkpoint.empty()) {
-        // A checkpoint is the work already done, in milliseconds.
+        // A checkpoint states how many milliseconds of the run have already been completed.
         run.m_endsAt -= Millis(std::atoi(start.m_checkpoint.c_str()));
     }
     return run;
@@ -313,7 +313,7 @@
     });
 }
 
-/** Only ends that exist now are removed; ends that come later are listed whatever their number. */
+/** Removes only ends that exist now; later ends are listed whatever number the call contains. */
 void FakeTaskWorker::applyHold(const HoldCall& hold) {
     m_lastPersisted = std::max(m_lastPersisted, hold.m_lastPersisted);
     removePersistedEnds(hold.m_lastPersisted);
@@ -322,7 +322,7 @@
     }
 }
 
-/** The end of a process breaks its connections at once. */
+/** When the process is replaced or suspended, its connections fail at once. */
 void FakeTaskWorker::answerHoldAt(Millis until, unsigned incarnations,
                                   std::function<void(const HoldReply&)> done) {
     if (incarnations != m_incarnations || m_suspendedAt.has_value()) {
@@ -386,7 +386,7 @@
     const Run run = m_runs[task];
     m_runs.erase(task);
     m_highestEndedRun[task] = std::max(m_highestEndedRun[task], run.m_number);
-    // A stop saves the work done as a checkpoint.
+    // A stop saves the time that the run has completed as a checkpoint.
     const std::string saved =
             how == RunEnd::STOPPED ? std::to_string((m_loop.now() - run.m_startedAt).count()) : "";
     m_endEvents[m_nextEnd] = m_witness.recordRunEnd();
--- a/test/support/FakeTaskWorker.h
+++ b/test/support/FakeTaskWorker.h
@@ -33,9 +33,10 @@
  * A worker that follows the platform's contract: calls are fenced, runs are leased on the worker's
  * own clock, and the end of a run is listed until the caller reports it as persisted.
  *
- * A run lasts for the milliseconds in its payload; with the prefix `!` the run fails at that time.
- * `x10` crashes the worker 10 ms after the start of the run; with `x10/2/3000` only task 2 of the
- * step does so, and the others last for 3 s. `serve` and `fill` run until they are stopped.
+ * The payload of a run is its duration in milliseconds; with the prefix `!` the run fails at the
+ * end of that time. `x10` crashes the worker 10 ms after the start of the run; with `x10/2/3000`
+ * only task 2 of the step crashes its worker, and the other tasks last for 3 s. `serve` and `fill`
+ * run until they are stopped.
  */
 class FakeTaskWorker final : public TaskWorker {
 public:
@@ -51,11 +52,13 @@
     void hold(const WorkerCall& call, const HoldCall& hold,
               std::function<void(const HoldReply&)> done) override;
 
-    /** Replaces the process at once: all runs, ends and the fence are lost and numbers start at 1.
+    /**
+     * Replaces the process at once: all runs, ends and the fence are lost, and ends and heartbeats
+     * are numbered from 1 again.
      */
     void restart();
     void restart(RestartForm form);
-    /** Error of the start time that the next incarnation reports, against the time of day. */
+    /** Difference between the start time that the next incarnation reports and the time of day. */
     Millis m_wallClockError{0};
     RestartForm m_restartForm = RestartForm::NEW_ID;
     /** Restarts, and refuses connections until m_restartDelay has passed. */
@@ -71,17 +74,17 @@
     WorkerIncarnation getIncarnation() const { return {m_id, m_processStartedAt}; }
     /** Returns the number of the next heartbeat, from 1 in each incarnation. */
     std::uint64_t nextHeartbeatNumber() { return ++m_heartbeatCount; }
-    /** Number of next starts that are carried out after m_startDelay and get no answer. */
+    /** Number of subsequent starts that are carried out after m_startDelay and get no answer. */
     unsigned m_startsToDelay = 0;
     Millis m_startDelay{2000};
-    /** Likewise for stops and holds; their delay is m_startDelay too. */
+    /** The same for stops and holds, which are also delayed by m_startDelay. */
     unsigned m_stopsToDelay = 0;
     unsigned m_holdsToDelay = 0;
     /** Reason with which every start is refused; empty: starts are accepted. */
     std::string m_refusal;
     /** Number of starts refused for m_refusal. */
     std::size_t m_refusalCount = 0;
-    /** Whether runs are stalled while the worker goes on answering. */
+    /** Whether runs are stalled. The worker still answers calls. */
     bool m_areRunsStalled = false;
     /** Progress in percent that stalled runs report. */
     std::int64_t m_stalledPercent = 50;
@@ -107,12 +110,12 @@
     std::optional<std::uint32_t> getThrottlePercent(const TaskKey& task) const;
 
 private:
-    /** Forgets the ends that the caller reports as persisted, and extends the lease. */
+    /** Removes the ends that the caller reports as persisted, and extends the lease. */
     void applyHold(const HoldCall& hold);
-    /** Answers a hold at `until`, or with an error if the process is replaced before. */
+    /** Answers a hold at `until`, or with an error if the process is replaced before that time. */
     void answerHoldAt(Millis until, unsigned incarnations,
                       std::function<void(const HoldReply&)> done);
-    /** Adds a row to the journal and writes it as a log line, to compare with other processes. */
+    /** Adds a row to the journal and logs it, for comparison with the logs of other processes. */
     void recordRunEvent(const char* what, const TaskKey& task, std::uint32_t run);
     /** Logs that a call which got no answer was carried out. */
     void logLateCall(const char* call, const TaskKey& task, std::uint32_t run,
@@ -123,7 +126,9 @@
         Millis m_endsAt{0};
         bool m_fails = false;
         bool m_crashes = false;
-        /** Payload `serve` or `fill`: runs without end; `fill` adds latency to `serve`. */
+        /**
+         * The payload is `serve` or `fill`; such a run has no end. `fill` adds latency to `serve`.
+         */
         bool m_isServing = false;
         bool m_isFilling = false;
         std::uint32_t m_percent = 100;
@@ -138,7 +143,7 @@
     /** Removes the listed ends up to a number and reports them to the witness as persisted. */
     void removePersistedEnds(std::uint64_t last);
     void endRun(const TaskKey& task, RunEnd how);
-    /** Extends the lease, at most to the maximum of a worker's lease. */
+    /** Extends the lease to `until`, but at most to the maximum lease, counted from now. */
     void extendLease(Millis until);
     /** Returns the runs with their progress and the listed ends. */
     HoldReply makeHoldReply();
@@ -151,7 +156,10 @@
     std::string m_id;
     std::uint64_t m_processStartedAt = 0;
     std::uint64_t m_heartbeatCount = 0;
-    /** Last end that was listed when the lease expired; ends up to this number don't count. */
+    /**
+     * Number of the last end that was listed when the lease expired. The witness does not count
+     * ends up to this number.
+     */
     std::uint64_t m_lastLapsedEnd = 0;
     std::map<std::uint64_t, std::size_t> m_endEvents;
     bool m_isDown = false;
--- a/test/support/FakeTransport.cpp
+++ b/test/support/FakeTransport.cpp
@@ -14,7 +14,10 @@
 
 }  // namespace
 
-/** One end of a link. The ends refer to each other weakly: destroying one closes both. */
+/**
+ * One end of a link. Both ends have weak references to each other: destruction of either end
+ * closes both.
+ */
 class FakeLink final : public Link, public std::enable_shared_from_this<FakeLink> {
 public:
     FakeLink(FakeNetwork& network, EventLoop& loop, std::string own, std::string peer)
@@ -84,7 +87,7 @@
         m_onClose = nullptr;
     }
 
-    /** Closes this end from the network, on the loop of its process. */
+    /** Closes this end on behalf of the network, on the loop of the end's process. */
     void closeLater() {
         m_loop.callLater(LATENCY, [weak = weak_from_this()] {
             const auto link = weak.lock();
--- a/test/support/FakeTransport.h
+++ b/test/support/FakeTransport.h
@@ -18,8 +18,8 @@
 class FakeLink;
 
 /**
- * The network between the processes of a test, owned by the test. Processes are named as their
- * FakeTransport is.
+ * Simulated network between the processes of a test, owned by the test. A process is identified by
+ * the name passed to its FakeTransport.
  */
 class FakeNetwork {
 public:
@@ -33,7 +33,7 @@
     bool isCut(const std::string& a, const std::string& b) const;
 
     /**
-     * Makes a process's machine behave as without power: its links stay open but carry nothing, and
+     * Simulates a power loss of a process's machine: its links stay open but carry nothing, and
      * connections to it time out.
      */
     void hang(const std::string& process) { m_hung.insert(process); }
@@ -41,7 +41,7 @@
     /** Ends all links of a process, as its termination does, and removes its listener. */
     void kill(const std::string& process);
 
-    /** Ends the links between two processes, which may connect again. */
+    /** Ends the links between two processes. The processes may connect again. */
     void breakLinks(const std::string& a, const std::string& b);
 
     /** Called with each frame before it is delivered; a result of false drops the frame. */
--- a/test/support/JobFleet.cpp
+++ b/test/support/JobFleet.cpp
@@ -15,7 +15,7 @@
 
 JobFleet::JobFleet(std::size_t gateways, std::size_t workers, std::int64_t taskCost)
         : m_taskCostMicros(taskCost) {
-    // The number of attempts of the queues in configure().
+    // Equals the number of attempts that configure() sets for the queues.
     m_witness.m_attempts = 2;
     configure();
     m_gateways.resize(gateways);
--- a/test/support/JobFleet.h
+++ b/test/support/JobFleet.h
@@ -53,7 +53,7 @@
         Resources m_capacity{8000, 8000, 8};
         /** Whether the worker sends no heartbeats. */
         bool m_isHeartbeatSuppressed = false;
-        /** Minimum time that the worker stays while it drains. */
+        /** Minimum time for which the worker remains available while it drains. */
         Millis m_remaining{0};
         /** Time for which the worker remains cold. */
         Millis m_warmUpRemaining{0};
@@ -77,15 +77,18 @@
     void startSidecar(std::size_t index);
     /** Terminates a sidecar without a shutdown; its worker continues. */
     void killSidecar(std::size_t index);
-    /** Delivers a worker's heartbeat to its sidecar, unless a fault of either prevents it. */
+    /**
+     * Delivers a worker's heartbeat to its sidecar, unless a fault of the worker or the sidecar
+     * prevents the delivery.
+     */
     void heartbeat(std::size_t index);
     /** Returns a worker's current heartbeat, for delivery now or with a delay. */
     WorkerHeartbeat makeHeartbeat(std::size_t index);
     void deliver(std::size_t index, const WorkerHeartbeat& heartbeat);
-    /** Sets the identity with which all workers return after a crash. */
+    /** Sets whether all workers return from a crash with a new id or with the same one. */
     void setRestartForm(RestartForm form);
 
-    /** Sends a request and advances the clock until it is answered, for at most 10 s. */
+    /** Sends a request and advances the clock until the answer arrives, for at most 10 s. */
     IntakeAnswer sendRequest(std::size_t gateway, const std::string& method,
                              const std::string& path, const std::string& body = "",
                              const std::string& key = KEY);
@@ -95,13 +98,13 @@
     /** Returns a job's state, or the status as text if the answer is not 200. */
     std::string getState(const std::string& id, const std::string& queue = "/batch/",
                          std::size_t gateway = 0);
-    /** Polls a job's state each 50 ms. Returns false if the limit passes first. */
+    /** Polls a job's state every 50 ms. Returns false if the limit passes first. */
     bool waitForState(const std::string& id, const std::string& state, Millis limit,
                       const std::string& queue = "/batch/", std::size_t gateway = 0);
-    /** Starts an operator's statement at a gateway; the result is set when it is answered. */
+    /** Sends an operator's statement to a gateway; the result is set when the answer arrives. */
     std::shared_ptr<std::optional<StatementAnswer>> startStatement(std::size_t gateway,
                                                                    const std::string& text);
-    /** Executes a statement and advances the clock until it is answered, for at most 10 s. */
+    /** Executes a statement and advances the clock until the answer arrives, for at most 10 s. */
     StatementAnswer executeStatement(std::size_t gateway, const std::string& text);
     /** Returns the index of the gateway that leads, if there is one. */
     std::optional<std::size_t> findLeader() const;
--- a/test/support/JobFleetTest.h
+++ b/test/support/JobFleetTest.h
@@ -22,7 +22,7 @@
         m_fleet.m_loop.advance(Millis(500));
     }
 
-    /** No task ran twice at the same time, or again after its end was persisted. */
+    /** Checks that no task ran twice at the same time, or again after its end was persisted. */
     void TearDown() override {
         EXPECT_EQ(m_fleet.m_witness.getViolations(), std::vector<std::string>());
     }
@@ -72,8 +72,8 @@
     }
 
     /**
-     * Restarts a sidecar so that the first heartbeat it receives is one of its worker's previous
-     * incarnation.
+     * Restarts a sidecar so that the first heartbeat that it receives is `former`, which was sent
+     * by the previous incarnation of its worker.
      */
     void restartSidecarWithStaleHeartbeat(std::size_t workerIndex, const WorkerHeartbeat& former) {
         m_fleet.killSidecar(workerIndex);
--- a/test/support/ManualEventLoop.cpp
+++ b/test/support/ManualEventLoop.cpp
@@ -94,6 +94,7 @@
         }
         const std::uint64_t id = m_ready.front();
         m_ready.pop_front();
+        // Timers have a resolution of a millisecond, so this call may come up to that much late.
         m_busyUntil = std::max(m_busyUntil, now - MICROS_PER_MILLI) + m_taskCostMicros;
         execute(id);
     }
--- a/test/support/ManualEventLoop.h
+++ b/test/support/ManualEventLoop.h
@@ -63,7 +63,9 @@
     bool isFrozen() const { return m_isFrozen; }
     /** Whether the clock excludes the time while the process is frozen. */
     bool m_excludesSuspension = false;
-    /** Processor time of each task, in microseconds; other tasks wait for its end. */
+    /**
+     * Processor time of each task, in microseconds; other tasks wait until this time has passed.
+     */
     std::int64_t m_taskCostMicros = 0;
 
 private:
@@ -80,7 +82,7 @@
     std::map<std::uint64_t, Task> m_tasks;
     /** Tasks that fell due while the process was frozen, with the time when they were due. */
     std::vector<std::pair<std::uint64_t, Millis>> m_overdueTasks;
-    /** Due tasks that wait for the processor. */
+    /** Due tasks that wait until the processor is idle. */
     std::deque<std::uint64_t> m_ready;
     /** Time until which the processor is busy, in microseconds of the base loop. */
     std::int64_t m_busyUntil = 0;
--- a/test/support/RunWitness.cpp
+++ b/test/support/RunWitness.cpp
@@ -30,7 +30,10 @@
     checkHistory(task);
 }
 
-/** Called after ends too, since an end may be persisted only after the start that it forbids. */
+/**
+ * Called after starts and after persisted ends, since an end may be persisted only after the start
+ * that the end forbids.
+ */
 void RunWitness::checkHistory(const TaskKey& task) {
     const TaskHistory& history = m_histories[task];
     const std::size_t last = history.m_starts.empty() ? 0 : history.m_starts.back();
--- a/test/support/RunWitness.h
+++ b/test/support/RunWitness.h
@@ -14,12 +14,15 @@
 
 /**
  * Records the starts and ends of runs on all workers of a test, and the violations of the promise
- * that a task never runs twice at once or again after its end counts.
+ * that a task never runs twice at once or again after an end that counts (see
+ * recordEndPersisted()).
  */
 class RunWitness {
 public:
-    /** Records a start. A start while the task runs, or after its success was persisted, is a
-     * violation. */
+    /**
+     * Records a start. A start while the task runs, or after its success was persisted, is a
+     * violation.
+     */
     void recordRunStart(const TaskKey& task, std::uint32_t run, const std::string& worker);
     void recordStop(const TaskKey& task, const std::string& worker);
     /** Records a success. The task may run again until that end is persisted. */
@@ -29,11 +32,11 @@
     /** Records the end of a run. Returns the number of this end, which increases. */
     std::size_t recordRunEnd() { return ++m_events; }
     /**
-     * Records that an end was persisted before its worker's lease expired. It counts from the time
-     * of the end, not of this call.
+     * Records that an end was persisted before its worker's lease expired. Such an end counts from
+     * the time when the run ended, not from the time of this call.
      */
     void recordEndPersisted(const TaskKey& task, RunEnd how, std::size_t end);
-    /** Maximum number of failed runs of a task, after which it must not start; zero: no limit. */
+    /** Number of failed runs after which a task must not start again; zero for no limit. */
     unsigned m_attempts = 0;
     bool isDone(const TaskKey& task) const { return m_done.count(task) != 0; }
     std::size_t countStarts(const TaskKey& task) const;
